--- a/crates/api/src/lib.rs
+++ b/crates/api/src/lib.rs
@@ -9,9 +9,9 @@
 
 pub use error::{ErrorBody, ErrorKind};
 pub use operator::{
-    AppliedBody, BoxStatus, HomeStatus, KeptStatus, PeerStatus, PoolsBody, RolloutStatus,
+    AppliedBody, BoxStatus, HomeStatus, KeeperStatus, PeerStatus, PoolsBody, RolloutStatus,
 };
-pub use step::{AdvanceBody, HeldBody, OpenBody, PullAnswer, PullBody, StepState};
+pub use step::{AdvanceBody, CloseBody, OpenBody, PullBody, PullResponse, StepState};
 
 /// Header that marks a plain request as repeatable (`true`) or not (`false`, the default).
 pub const REPEATABLE_HEADER: &str = "x-repeatable";
--- a/crates/api/src/operator.rs
+++ b/crates/api/src/operator.rs
@@ -41,7 +41,7 @@
     /// Boxes it knows.
     pub peers: Vec<PeerStatus>,
     /// Trainers whose steps it keeps.
-    pub kept: Vec<KeptStatus>,
+    pub kept: Vec<KeeperStatus>,
     /// Targets it is the home of.
     pub homes: Vec<HomeStatus>,
     /// Roll-outs it conducts.
@@ -61,7 +61,7 @@
 
 /// One trainer's steps at their keeper.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptStatus {
+pub struct KeeperStatus {
     /// The pool.
     pub pool: PoolName,
     /// The trainer.
--- a/crates/api/src/step.rs
+++ b/crates/api/src/step.rs
@@ -55,7 +55,7 @@
 /// Says what the trainer holds, to close a step.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct HeldBody {
+pub struct CloseBody {
     /// Slots the trainer holds.
     #[serde(default)]
     pub held: SlotSet,
@@ -81,7 +81,7 @@
 
 /// The answer to a pull.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct PullAnswer {
+pub struct PullResponse {
     /// Samples, lowest slot first.
     pub samples: Vec<Sample>,
     /// The step's state when they were handed out.
--- a/crates/bench/src/baselines.rs
+++ b/crates/bench/src/baselines.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use ids::{Moment, TargetId, VersionWindow};
-use placement::{TargetChoice, TargetHint};
+use placement::{PlacementPolicy, TargetHint};
 use rand::Rng;
 
 /// Loads as the homes last told them, and nothing placed since.
@@ -44,7 +44,7 @@
     () => {
         fn assume_limit(&mut self, _: u32) {}
 
-        fn next_rest_end(&self, _: Moment) -> Option<Moment> {
+        fn next_backoff_end(&self, _: Moment) -> Option<Moment> {
             None
         }
 
@@ -60,7 +60,7 @@
     };
 }
 
-impl TargetChoice for RoundRobin {
+impl PlacementPolicy for RoundRobin {
     fn choose<'a>(
         &mut self,
         _: Moment,
@@ -78,7 +78,7 @@
     ignore_the_rest!();
 }
 
-impl TargetChoice for LeastReported {
+impl PlacementPolicy for LeastReported {
     fn choose<'a>(
         &mut self,
         _: Moment,
@@ -96,7 +96,7 @@
     ignore_the_rest!();
 }
 
-impl TargetChoice for TwoRandom {
+impl PlacementPolicy for TwoRandom {
     fn choose<'a>(
         &mut self,
         _: Moment,
--- a/crates/bench/src/beats.rs
+++ b/crates/bench/src/beats.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use coord::members::{MemberRecord, MemberTable, ToldRecord};
+use coord::members::{MemberRecord, MemberTable, RelayedRecord};
 use ids::{Generation, Incarnation, Moment};
 use prost::Message;
-use wire::beat_to_wire;
+use wire::heartbeat_to_wire;
 
 use crate::table;
 
@@ -68,7 +68,7 @@
         let mut table = MemberTable::new(me.clone());
         // As the platform's list seeds it.
         for other in &records {
-            let told = ToldRecord { record: other.clone(), age: Duration::ZERO };
+            let told = RelayedRecord { record: other.clone(), age: Duration::ZERO };
             table.told(Moment::START, told);
         }
         tables.insert(me.address.clone(), table);
@@ -86,7 +86,7 @@
         }
         busy += started.elapsed();
         for (from, out) in beats {
-            let wire = beat_to_wire(&out.beat, Generation::new(7));
+            let wire = heartbeat_to_wire(&out.beat, Generation::new(7));
             let bytes = wire.encoded_len() as u64 + PACKET_BYTES;
             if second > WARM_UP {
                 counts.entry(from).or_default().sent += bytes;
--- a/crates/bench/src/decisions.rs
+++ b/crates/bench/src/decisions.rs
@@ -10,11 +10,13 @@
     TargetId, TokenCount, TrainerId, VersionWindow,
 };
 use ledger::{GroupSpec, PoolRule, Pull, Sample, SlotSet, StepLedger, StepSpec, VersionSpan};
-use placement::{Admission, Ask, ReplicaReading, TargetChoice, TargetChooser, TargetQueue};
+use placement::{
+    Admission, AdmissionRequest, PlacementPolicy, ReplicaReading, TargetChooser, TargetQueue,
+};
 use pools::{SwapPolicy, TargetKind};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use swaps::{SwapAction, SwapConductor};
+use swaps::{RolloutAction, RolloutCoordinator};
 
 use crate::table;
 
@@ -81,7 +83,7 @@
         };
         queue.read(Moment::START, &reading);
         let trainer: TrainerId = "trainer-1".parse().expect("an id");
-        let ask = Ask {
+        let ask = AdmissionRequest {
             trainer: Some(trainer),
             window: Some(window()),
             deadline: Moment::START + Duration::from_mins(1),
@@ -179,7 +181,7 @@
     let rows = [10, 100, 250, 1_000].map(|count| {
         let replicas: Vec<(TargetId, bool)> =
             targets(count).into_iter().map(|id| (id, true)).collect();
-        let mut conductor = SwapConductor::new(Moment::START, FencingToken::new(1));
+        let mut conductor = RolloutCoordinator::new(Moment::START, FencingToken::new(1));
         let (mut orders, mut reads) = (0_usize, 0_usize);
         let started = Instant::now();
         for tick in 0..30_u64 {
@@ -188,11 +190,11 @@
             conductor.want(version, SwapPolicy::AllAtOnce, replicas.iter().cloned());
             for action in conductor.poll(now) {
                 match action {
-                    SwapAction::Order(order) => {
+                    RolloutAction::Order(order) => {
                         orders += 1;
                         conductor.ordered(now, &order.target, Some(true));
                     }
-                    SwapAction::Read(id) => {
+                    RolloutAction::Read(id) => {
                         reads += 1;
                         let life = Incarnation::new(1);
                         conductor.read(now, now, &id, life, Some(version));
--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -5,8 +5,8 @@
 
 use std::time::Duration;
 
-use ids::{AnswerDigest, ModelVersion};
-use placement::{TargetChoice, TargetChooser};
+use ids::{ContentDigest, ModelVersion};
+use placement::{PlacementPolicy, TargetChooser};
 use sessions::{Fault, FaultPlan, Verdict, World, WorldPlan};
 use standins::engine_model::{CHUNK_TOKENS, EngineSettings, answer_length};
 
@@ -85,7 +85,7 @@
     let mut all = 0_u32;
     for slot in 0..u64::from(plan.groups) * u64::from(plan.samples) {
         let group = slot / u64::from(plan.samples);
-        let prompt = AnswerDigest::of(plan.prompt(group).as_bytes()).get();
+        let prompt = ContentDigest::of(plan.prompt(group).as_bytes()).get();
         let length = answer_length(prompt, slot, settings.shortest, LONGEST);
         longest = longest.max(length);
         all += length;
@@ -98,7 +98,7 @@
     alone.max(Duration::from_secs_f64(f64::from(all) / rate))
 }
 
-fn run<C: TargetChoice + Default>(size: &Size, seed: u64) -> Outcome {
+fn run<C: PlacementPolicy + Default>(size: &Size, seed: u64) -> Outcome {
     let plan = plan(size, seed);
     let bound = lower_bound(&plan);
     // New weights in the middle of the step.
@@ -116,7 +116,7 @@
     }
 }
 
-fn row<C: TargetChoice + Default>(name: &str, size: &Size) -> Vec<String> {
+fn row<C: PlacementPolicy + Default>(name: &str, size: &Size) -> Vec<String> {
     let mut outcomes: Vec<Outcome> = (1..=SEEDS).map(|seed| run::<C>(size, seed)).collect();
     outcomes.sort_by(|a, b| a.ratio.total_cmp(&b.ratio));
     let median = &outcomes[outcomes.len() / 2];
--- a/crates/bench/src/suspects.rs
+++ b/crates/bench/src/suspects.rs
@@ -4,8 +4,8 @@
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
-use ids::{BirthTime, Moment, ServiceName, TargetLife, WorkDigest};
-use suspects::{CONDEMNING_ENDS, MOST_ENDS, SuspectBook, SuspectWrite, WorkEnd};
+use ids::{Moment, ServiceName, StartTime, TargetIncarnation, WorkDigest};
+use suspects::{MOST_ENDS, QUARANTINE_CRASHES, SuspectTable, SuspectWrite, TargetCrash};
 
 use crate::table;
 
@@ -19,14 +19,14 @@
     let service: ServiceName = "desk".parse().expect("an id");
     let at = Moment::after_start(Duration::from_hours(1));
     let before = resident_kb();
-    let mut book = SuspectBook::default();
+    let mut book = SuspectTable::default();
     for number in 0..MOST_ENDS {
-        let life = TargetLife {
+        let life = TargetIncarnation {
             instance: format!("i-{number:010}").parse().expect("an id"),
-            born: BirthTime::new(1_779_616_324_046),
+            born: StartTime::new(1_779_616_324_046),
         };
         for work in 0..WORKS {
-            let end = WorkEnd { life: life.clone(), software: "v1".parse().ok() };
+            let end = TargetCrash { life: life.clone(), software: "v1".parse().ok() };
             book.broke(at, work_digest(work), &service, end);
         }
         book.refuses(at, &life);
@@ -38,9 +38,9 @@
     });
     let told = record.map_or(0, |mut record| {
         let whole = serde_json::to_vec(&record).unwrap_or_default().len();
-        record.ends.truncate(CONDEMNING_ENDS);
+        record.ends.truncate(QUARANTINE_CRASHES);
         println!(
-            "{CONDEMNING_ENDS} ends: {} bytes told",
+            "{QUARANTINE_CRASHES} ends: {} bytes told",
             serde_json::to_vec(&record).unwrap_or_default().len()
         );
         whole
--- a/crates/client/src/entry.rs
+++ b/crates/client/src/entry.rs
@@ -5,7 +5,7 @@
 
 use api::{DIGEST_HEADER, ErrorBody, ErrorKind};
 use coord::retry::Backoff;
-use ids::AnswerDigest;
+use ids::ContentDigest;
 use rand::Rng;
 use reqwest::{Client, Method, Response};
 use serde::Serialize;
@@ -120,14 +120,14 @@
 async fn read_whole<T: DeserializeOwned>(response: Response) -> Result<T, ClientError> {
     let success = response.status().is_success();
     let stated = response.headers().get(DIGEST_HEADER).and_then(|value| value.to_str().ok());
-    let stated: Option<AnswerDigest> = stated.and_then(|text| text.parse().ok());
+    let stated: Option<ContentDigest> = stated.and_then(|text| text.parse().ok());
     let body = response.bytes().await.map_err(|error| ClientError::Broken(error.to_string()))?;
     if !success {
         let refusal: ErrorBody = serde_json::from_slice(&body)
             .map_err(|_foreign| ClientError::Broken("an answer that is no refusal".to_owned()))?;
         return Err(refusal.into());
     }
-    if stated != Some(AnswerDigest::of(&body)) {
+    if stated != Some(ContentDigest::of(&body)) {
         return Err(ClientError::Broken("the body does not match its digest".to_owned()));
     }
     serde_json::from_slice(&body).map_err(|error| ClientError::Broken(error.to_string()))
--- a/crates/client/src/step.rs
+++ b/crates/client/src/step.rs
@@ -4,9 +4,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use api::{AdvanceBody, ErrorBody, ErrorKind, HeldBody, OpenBody, PullAnswer, PullBody, StepState};
+use api::{
+    AdvanceBody, CloseBody, ErrorBody, ErrorKind, OpenBody, PullBody, PullResponse, StepState,
+};
 use ids::{ModelVersion, PoolName, TrainerId, whole_millis};
-use ledger::{Sample, StepIntake, StepSpec};
+use ledger::{Sample, StepReceiver, StepSpec};
 use reqwest::Method;
 use serde::Serialize;
 use tokio::time::Instant;
@@ -47,7 +49,7 @@
 #[derive(Debug)]
 pub struct OpenStep {
     client: TrainerClient,
-    intake: StepIntake,
+    intake: StepReceiver,
     state: StepState,
     idle: IdleReport,
     last_sample: Instant,
@@ -61,7 +63,7 @@
 
     /// Opens a step; the same step may be opened again after a restart.
     pub async fn open(&self, spec: StepSpec) -> Result<OpenStep, ClientError> {
-        let intake = StepIntake::new(spec);
+        let intake = StepReceiver::new(spec);
         let state = self.send_open(&intake).await?;
         Ok(OpenStep {
             client: self.clone(),
@@ -72,7 +74,7 @@
         })
     }
 
-    async fn send_open(&self, intake: &StepIntake) -> Result<StepState, ClientError> {
+    async fn send_open(&self, intake: &StepReceiver) -> Result<StepState, ClientError> {
         let spec = intake.spec();
         let body = OpenBody {
             version: spec.version,
@@ -85,7 +87,7 @@
 
     async fn post<B: Serialize + Sync, T: serde::de::DeserializeOwned>(
         &self,
-        intake: &StepIntake,
+        intake: &StepReceiver,
         verb: &str,
         body: &B,
         wait: Duration,
@@ -98,7 +100,7 @@
 
 impl OpenStep {
     /// The trainer's record of the step.
-    pub const fn intake(&self) -> &StepIntake {
+    pub const fn intake(&self) -> &StepReceiver {
         &self.intake
     }
 
@@ -144,7 +146,7 @@
 
     /// Closes the step.
     pub async fn close(self) -> Result<IdleReport, ClientError> {
-        let body = HeldBody { held: self.intake.held().clone(), seen: self.intake.seen() };
+        let body = CloseBody { held: self.intake.held().clone(), seen: self.intake.seen() };
         let closed: Result<serde_json::Value, ClientError> =
             self.client.post(&self.intake, "close", &body, Duration::ZERO).await;
         match closed {
@@ -162,7 +164,7 @@
             wait_ms: whole_millis(PULL_WAIT),
         };
         let pulled = self.client.post(&self.intake, "pull", &body, PULL_WAIT).await;
-        let answer: PullAnswer = match pulled {
+        let answer: PullResponse = match pulled {
             Ok(answer) => answer,
             Err(error) if not_open(&error) => {
                 self.reopen().await?;
--- a/crates/coord/src/lease.rs
+++ b/crates/coord/src/lease.rs
@@ -49,7 +49,7 @@
 
 /// A record as read, with the version a conditional update must name.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LeaseSighting {
+pub struct VersionedLease {
     /// The object's version.
     pub version: ObjectVersion,
     /// The record.
@@ -72,7 +72,7 @@
 
 /// A write of another holder, heard from itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LeaseNote {
+pub struct LeaseReport {
     /// The holder.
     pub holder: BoxId,
     /// The token it holds the lease under.
@@ -83,7 +83,7 @@
     pub heard_at: Moment,
 }
 
-impl LeaseNote {
+impl LeaseReport {
     fn is_of(&self, record: &LeaseRecord) -> bool {
         (&self.holder, self.token, self.write) == (&record.holder, record.token, record.write)
     }
@@ -93,7 +93,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReadOutcome {
     /// The object as it is.
-    Found(LeaseSighting),
+    Found(VersionedLease),
     /// There is no such object.
     Absent,
     /// Nobody answered.
@@ -175,7 +175,7 @@
     takeable: Option<(ObjectVersion, FencingToken)>,
     /// Tokens up to this one have been seen in use, whatever the object says.
     seen: FencingToken,
-    note: Option<LeaseNote>,
+    note: Option<LeaseReport>,
     /// Least time between the last act of one holder and the first of another.
     gap: Duration,
     /// Before this moment a holder keeps quiet because of the one before it.
@@ -217,7 +217,7 @@
     }
 
     /// Whether the lease was last read in the hands of an earlier life of this box.
-    pub fn takes_own(&self) -> bool {
+    pub fn held_by_earlier_incarnation(&self) -> bool {
         self.other.as_ref().is_some_and(|record| record.holder == self.me)
     }
 
@@ -251,7 +251,7 @@
 
     /// Takes what a holder said of its own last write. If the object still holds that write when
     /// it is read, it has been unchanged since then, and the wait for the term is the shorter.
-    pub fn note(&mut self, note: LeaseNote) {
+    pub fn note(&mut self, note: LeaseReport) {
         if self
             .note
             .as_ref()
@@ -276,7 +276,7 @@
     }
 
     /// Reads the object at the next poll instead of waiting for the next turn.
-    pub fn hurry(&mut self, now: Moment) {
+    pub fn expedite(&mut self, now: Moment) {
         if self.held.is_none() {
             self.next_at = self.next_at.min(now);
         }
@@ -421,7 +421,7 @@
     fn adopt(
         &mut self,
         now: Moment,
-        sighting: &LeaseSighting,
+        sighting: &VersionedLease,
         lost: Option<(FencingToken, u64, Moment)>,
     ) {
         let token = sighting.record.token;
@@ -439,7 +439,7 @@
         self.next_at = now;
     }
 
-    fn watch(&mut self, now: Moment, sighting: LeaseSighting) {
+    fn watch(&mut self, now: Moment, sighting: VersionedLease) {
         let unchanged_since = match self.watched {
             Some(watched) if watched.version == sighting.version => watched.unchanged_since,
             _ => now,
--- a/crates/coord/src/members.rs
+++ b/crates/coord/src/members.rs
@@ -52,7 +52,7 @@
 
 /// A record heard of at second hand.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ToldRecord {
+pub struct RelayedRecord {
     /// The record.
     pub record: MemberRecord,
     /// How long before the telling the box was last heard, by whoever heard it.
@@ -73,12 +73,12 @@
     /// The sender's whole record, on full beats.
     pub record: Option<MemberRecord>,
     /// Others the sender has heard, on full beats.
-    pub told: Vec<ToldRecord>,
+    pub told: Vec<RelayedRecord>,
 }
 
 /// A beat and where it goes.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct OutgoingBeat {
+pub struct OutgoingHeartbeat {
     /// The receiver's address.
     pub to: String,
     /// The beat.
@@ -112,13 +112,13 @@
     me: MemberRecord,
     entries: BTreeMap<BoxId, Entry>,
     beats: u64,
-    next_beat: Moment,
+    next_heartbeat_at: Moment,
 }
 
 impl MemberTable {
     /// A table that knows only the box itself.
     pub const fn new(me: MemberRecord) -> Self {
-        Self { me, entries: BTreeMap::new(), beats: 0, next_beat: Moment::START }
+        Self { me, entries: BTreeMap::new(), beats: 0, next_heartbeat_at: Moment::START }
     }
 
     /// The box's own record.
@@ -129,14 +129,14 @@
     /// Marks the box itself as leaving; the next beat goes out at once.
     pub const fn leave(&mut self) {
         self.me.leaving = true;
-        self.next_beat = Moment::START;
+        self.next_heartbeat_at = Moment::START;
         // A full beat, so that boxes which missed the record learn it too.
         self.beats = 0;
     }
 
     /// When the next beats are due.
-    pub const fn next_beat(&self) -> Moment {
-        self.next_beat
+    pub const fn next_heartbeat_at(&self) -> Moment {
+        self.next_heartbeat_at
     }
 
     /// Takes a beat from a peer.
@@ -163,7 +163,7 @@
     }
 
     /// Takes a record from the platform's list or from a peer's telling.
-    pub fn told(&mut self, now: Moment, told: ToldRecord) {
+    pub fn told(&mut self, now: Moment, told: RelayedRecord) {
         self.merge(now - told.age, told.record);
     }
 
@@ -195,7 +195,7 @@
     }
 
     /// The boxes of this domain ranked highest for `duty`, this box included.
-    pub fn ranked_here(&self, now: Moment, duty: &str, count: usize) -> Vec<BoxId> {
+    pub fn ranked_in_own_domain(&self, now: Moment, duty: &str, count: usize) -> Vec<BoxId> {
         let live = self.live_in(now, &self.me.domain);
         let ids = live.iter().map(|record| &record.id);
         rendezvous::ranked(duty, ids, count).into_iter().cloned().collect()
@@ -220,15 +220,15 @@
     }
 
     /// The beats due at `now`.
-    pub fn poll(&mut self, now: Moment, generation: Generation) -> Vec<OutgoingBeat> {
-        if now < self.next_beat {
+    pub fn poll(&mut self, now: Moment, generation: Generation) -> Vec<OutgoingHeartbeat> {
+        if now < self.next_heartbeat_at {
             return Vec::new();
         }
-        self.next_beat = now + BEAT_EVERY;
+        self.next_heartbeat_at = now + BEAT_EVERY;
         let full = self.beats.is_multiple_of(FULL_EVERY);
-        let mut out: Vec<OutgoingBeat> = self
+        let mut out: Vec<OutgoingHeartbeat> = self
             .neighbours()
-            .map(|entry| OutgoingBeat {
+            .map(|entry| OutgoingHeartbeat {
                 to: entry.record.address.clone(),
                 beat: self.beat(now, generation, full || !entry.introduced),
             })
@@ -258,7 +258,7 @@
     }
 
     /// A few contacts in turn, so that all are told over a few full beats.
-    fn contacts_to_tell(&self, now: Moment) -> Vec<ToldRecord> {
+    fn contacts_to_tell(&self, now: Moment) -> Vec<RelayedRecord> {
         let all: Vec<&Entry> = self
             .entries
             .values()
@@ -268,15 +268,15 @@
         let start = turn.wrapping_mul(CONTACTS_TOLD);
         (0..CONTACTS_TOLD.min(all.len()))
             .map(|offset| all[start.wrapping_add(offset) % all.len()])
-            .map(|entry| ToldRecord {
+            .map(|entry| RelayedRecord {
                 record: entry.record.clone(),
                 age: now.since(entry.heard_at),
             })
             .collect()
     }
 
-    fn delegate_beats(&self, now: Moment, generation: Generation) -> Vec<OutgoingBeat> {
-        let delegates = self.ranked_here(now, self.me.domain.as_str(), DELEGATES);
+    fn delegate_beats(&self, now: Moment, generation: Generation) -> Vec<OutgoingHeartbeat> {
+        let delegates = self.ranked_in_own_domain(now, self.me.domain.as_str(), DELEGATES);
         if !delegates.contains(&self.me.id) && !self.me.leaving {
             return Vec::new();
         }
@@ -291,7 +291,7 @@
                 &others[turn.wrapping_mul(DOMAINS_PER_BEAT).wrapping_add(offset) % others.len()]
             })
             .filter_map(|domain| self.contact_in(domain, turn))
-            .map(|to| OutgoingBeat { to, beat: self.beat(now, generation, true) })
+            .map(|to| OutgoingHeartbeat { to, beat: self.beat(now, generation, true) })
             .collect()
     }
 
--- a/crates/coord/tests/lease_notes.rs
+++ b/crates/coord/tests/lease_notes.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use coord::lease::{
-    LeaseAction, LeaseClaim, LeaseNote, LeaseRecord, LeaseSighting, ReadOutcome, WriteOutcome,
+    LeaseAction, LeaseClaim, LeaseRecord, LeaseReport, ReadOutcome, VersionedLease, WriteOutcome,
 };
 use ids::{FencingToken, Incarnation, Moment, ObjectVersion};
 
@@ -33,11 +33,11 @@
 }
 
 fn found(record: LeaseRecord) -> ReadOutcome {
-    ReadOutcome::Found(LeaseSighting { version: ObjectVersion::new(9), record })
+    ReadOutcome::Found(VersionedLease { version: ObjectVersion::new(9), record })
 }
 
-fn note(write: u64, heard_at: Moment) -> LeaseNote {
-    LeaseNote {
+fn note(write: u64, heard_at: Moment) -> LeaseReport {
+    LeaseReport {
         holder: "other".parse().expect("an id"),
         token: FencingToken::new(4),
         write,
--- a/crates/coord/tests/lease_property.rs
+++ b/crates/coord/tests/lease_property.rs
@@ -6,7 +6,7 @@
 use arbtest::arbitrary::{Result as Drawn, Unstructured};
 use arbtest::arbtest;
 use coord::lease::{
-    LeaseAction, LeaseClaim, LeaseRecord, LeaseSighting, ReadOutcome, WriteOutcome,
+    LeaseAction, LeaseClaim, LeaseRecord, ReadOutcome, VersionedLease, WriteOutcome,
 };
 use ids::{BoxId, FencingToken, Incarnation, Moment, ObjectVersion};
 
@@ -22,7 +22,7 @@
 
 #[derive(Debug, Default)]
 struct Store {
-    object: Option<LeaseSighting>,
+    object: Option<VersionedLease>,
     versions: u64,
 }
 
@@ -34,7 +34,7 @@
         }
         self.versions += 1;
         let version = ObjectVersion::new(self.versions);
-        self.object = Some(LeaseSighting { version, record });
+        self.object = Some(VersionedLease { version, record });
         WriteOutcome::Applied(version)
     }
 }
--- a/crates/coord/tests/members_and_config.rs
+++ b/crates/coord/tests/members_and_config.rs
@@ -44,7 +44,7 @@
                 let record = other.clone();
                 table.told(
                     Moment::START,
-                    coord::members::ToldRecord { record, age: Duration::ZERO },
+                    coord::members::RelayedRecord { record, age: Duration::ZERO },
                 );
             }
             tables.insert(me.address.clone(), table);
@@ -95,7 +95,7 @@
     let mut table = MemberTable::new(record(0, 1, 1));
     let told = |table: &mut MemberTable, life, leaving, at| {
         let record = MemberRecord { leaving, ..record(1, 1, life) };
-        let told = coord::members::ToldRecord { record, age: Duration::ZERO };
+        let told = coord::members::RelayedRecord { record, age: Duration::ZERO };
         table.told(Moment::START + Duration::from_millis(at), told);
     };
     told(&mut table, 5, true, 1);
@@ -210,7 +210,7 @@
 fn a_box_learnt_of_late_is_greeted_with_a_full_beat() {
     let mut table = MemberTable::new(record(0, 1, 1));
     assert!(table.poll(Moment::START, Generation::new(1)).is_empty());
-    let told = coord::members::ToldRecord { record: record(1, 1, 1), age: Duration::ZERO };
+    let told = coord::members::RelayedRecord { record: record(1, 1, 1), age: Duration::ZERO };
     table.told(Moment::START, told);
     let beats = table.poll(Moment::START + Duration::from_secs(1), Generation::new(1));
     assert!(beats[0].beat.record.is_some(), "the other cannot know this box: {beats:?}");
--- a/crates/demo/src/fleet.rs
+++ b/crates/demo/src/fleet.rs
@@ -10,7 +10,7 @@
 
 use client::{EntryClient, EntrySettings, TrainerClient};
 use ids::{ModelVersion, PoolName, TargetId, TrainerId};
-use pools::{Favours, PoolLimits, PoolSpec, SwapPolicy};
+use pools::{PoolLimits, PoolObjective, PoolSpec, SwapPolicy};
 use reqwest::{Client, Method};
 use serde::Serialize;
 use serde_json::{Value, json};
@@ -331,7 +331,7 @@
             name: name.clone(),
             version,
             staleness_bound: 1,
-            favours: Favours::Staleness,
+            favours: PoolObjective::Staleness,
             trainers: vec![trainer.clone()],
             engines: ids(&self.engines, "engine"),
             scorers: ids(&self.services, "scorer"),
--- a/crates/front/src/admission.rs
+++ b/crates/front/src/admission.rs
@@ -71,7 +71,7 @@
         return Ok(caller);
     }
     let id = headers::request_id(&head.headers);
-    let sure = view.knows_settings();
+    let sure = view.has_fresh_config();
     let outcome = if sure { "key not known" } else { "key not known, settings may be old" };
     view.metrics.ended("key", outcome);
     log::info!(
--- a/crates/front/src/answer.rs
+++ b/crates/front/src/answer.rs
@@ -9,7 +9,7 @@
 use http_body_util::channel::Channel;
 use http_body_util::{Either, Full};
 use platform::headers;
-use upstream::WholeAnswer;
+use upstream::FullResponse;
 
 /// A stream that a target has broken off: the caller's connection is closed without its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
@@ -88,7 +88,7 @@
 }
 
 /// A target's answer, unchanged but for the headers of its connection.
-pub fn pass_on(answer: WholeAnswer) -> Response<FrontBody> {
+pub fn pass_on(answer: FullResponse) -> Response<FrontBody> {
     let mut response = Response::new(Either::Left(Full::new(answer.body)));
     *response.status_mut() = answer.status;
     *response.headers_mut() = answer.headers;
--- a/crates/front/src/jobs_api.rs
+++ b/crates/front/src/jobs_api.rs
@@ -9,7 +9,7 @@
 use futures::stream::FuturesUnordered;
 use http::{Response, StatusCode};
 use ids::{CustomerName, ShardIndex};
-use joblog::{CopyHolder, EpochId, shard_of_job};
+use joblog::{EpochId, StorageBox, shard_of_job};
 use jobs::{reason, unpack_text};
 use links::{CallError, LinkPool};
 use node::NodeView;
@@ -17,8 +17,8 @@
 use rand::seq::SliceRandom;
 use tokio::time;
 use wire::peer::{
-    JobBody, JobEnd, JobRead, JobSubmit, RefusedKind, ServedAsk, ShardAnswer, item, shard_answer,
-    shard_request,
+    ItemBodyRead, JobEnd, JobRead, JobSubmit, RefusedKind, ServedQuery, ShardResponse,
+    response_item, shard_request, shard_response,
 };
 
 use crate::answer::{self, FrontBody};
@@ -71,7 +71,7 @@
         id: &str,
         time: Duration,
         body: &shard_request::Body,
-    ) -> Result<shard_answer::Body, ShardFault> {
+    ) -> Result<shard_response::Body, ShardFault> {
         if self.view.is_isolated() {
             return Err(ShardFault::NotServed);
         }
@@ -108,7 +108,7 @@
         id: &str,
         time: Duration,
         body: &shard_request::Body,
-    ) -> Result<shard_answer::Body, ShardFault> {
+    ) -> Result<shard_response::Body, ShardFault> {
         let mut fault = ShardFault::NotServed;
         for address in self.addresses(shard) {
             match self.ask_at(&address, id, time, body.clone()).await {
@@ -130,7 +130,7 @@
         id: &str,
         time: Duration,
         body: shard_request::Body,
-    ) -> Result<shard_answer::Body, ShardFault> {
+    ) -> Result<shard_response::Body, ShardFault> {
         let error = match self.ask_once(address, id, time, body.clone()).await {
             Ok(answer) => return Ok(answer),
             Err(error) => error,
@@ -152,19 +152,20 @@
         id: &str,
         time: Duration,
         body: shard_request::Body,
-    ) -> Result<shard_answer::Body, CallError> {
+    ) -> Result<shard_response::Body, CallError> {
         let odd = CallError::Broken { why: "an answer of another kind" };
         let mut stream = self.links.call_shard(address, id, time, body).await?;
         let mut whole = None;
         while let Some(item) = stream.next(time).await? {
-            let Some(item::Body::Shard(ShardAnswer { body: Some(answer) })) = item.body else {
+            let Some(response_item::Body::Shard(ShardResponse { body: Some(answer) })) = item.body
+            else {
                 return Err(odd);
             };
             whole = match (whole, answer) {
                 (None, answer) => Some(answer),
-                (Some(shard_answer::Body::Page(mut page)), shard_answer::Body::Page(more)) => {
+                (Some(shard_response::Body::Page(mut page)), shard_response::Body::Page(more)) => {
                     page.results.extend(more.results);
-                    Some(shard_answer::Body::Page(page))
+                    Some(shard_response::Body::Page(page))
                 }
                 (Some(_), _) => return Err(odd),
             };
@@ -177,8 +178,8 @@
     pub async fn reaches_others(&self, time: Duration) -> bool {
         let addresses = self.other_keepers();
         let asked = addresses.iter().map(|address| async move {
-            let body = shard_request::Body::Served(ServedAsk::default());
-            match self.links.ask_shard(address, time, body).await {
+            let body = shard_request::Body::Served(ServedQuery::default());
+            match self.links.call_shard_unary(address, time, body).await {
                 Ok(_) | Err(CallError::Refused(_)) => true,
                 Err(error) => {
                     log::debug!(target: "entry", peer = address.as_str(), error:% = error; "not reached");
@@ -195,7 +196,7 @@
     fn other_keepers(&self) -> Vec<String> {
         let duties = self.view.duties();
         let own = &self.view.settings.domain;
-        let mut boxes: Vec<&CopyHolder> = duties.boxes().collect();
+        let mut boxes: Vec<&StorageBox> = duties.boxes().collect();
         if boxes.iter().any(|copy| copy.domain != *own) {
             boxes.retain(|copy| copy.domain != *own);
         }
@@ -217,7 +218,7 @@
         job: &str,
         time: Duration,
         body: impl Fn(ShardIndex) -> shard_request::Body,
-    ) -> Result<shard_answer::Body, ShardFault> {
+    ) -> Result<shard_response::Body, ShardFault> {
         if self.view.is_isolated() {
             // Nobody is reached: the caller is turned away at once.
             return Err(ShardFault::NotServed);
@@ -245,9 +246,12 @@
         }
         let asked = (0..shards).map(ShardIndex::new).map(|shard| async move {
             let address = self.addresses(shard).into_iter().next()?;
-            let body = ServedAsk { shard: shard.get(), job: job.to_owned() };
-            let asked =
-                self.links.ask_shard(&address, LOCATE_TIME, shard_request::Body::Served(body));
+            let body = ServedQuery { shard: shard.get(), job: job.to_owned() };
+            let asked = self.links.call_shard_unary(
+                &address,
+                LOCATE_TIME,
+                shard_request::Body::Served(body),
+            );
             asked.await.ok().map(|_holds| shard)
         });
         let asked: FuturesUnordered<_> = asked.collect();
@@ -269,7 +273,7 @@
         id: &str,
         time: Duration,
         body: impl Fn(ShardIndex) -> shard_request::Body,
-    ) -> Result<shard_answer::Body, ShardFault> {
+    ) -> Result<shard_response::Body, ShardFault> {
         let shards = self.view.shards().unwrap_or_default();
         let asked = (0..shards).map(|number| {
             let shard = ShardIndex::new(number);
@@ -294,14 +298,14 @@
 fn after_change(
     left: bool,
     body: &shard_request::Body,
-    asked: Result<shard_answer::Body, ShardFault>,
-) -> Result<shard_answer::Body, ShardFault> {
+    asked: Result<shard_response::Body, ShardFault>,
+) -> Result<shard_response::Body, ShardFault> {
     let unsure = matches!(asked, Err(ShardFault::NotServed | ShardFault::Full));
     if left && unsure && !is_read(body) { Err(ShardFault::Unknown) } else { asked }
 }
 
 const fn is_read(body: &shard_request::Body) -> bool {
-    matches!(body, shard_request::Body::Read(_) | shard_request::Body::BodyOf(_))
+    matches!(body, shard_request::Body::Read(_) | shard_request::Body::ItemBodyRead(_))
 }
 
 fn fault_of(error: &CallError) -> ShardFault {
@@ -404,12 +408,12 @@
             job: job.to_owned(),
             from,
             wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
-            most_bytes: PAGE_BYTES,
+            max_bytes: PAGE_BYTES,
             customer: customer.to_owned(),
         })
     };
     match client.ask_job(job, wait + READ_SLACK, body).await {
-        Ok(shard_answer::Body::Page(page)) => {
+        Ok(shard_response::Body::Page(page)) => {
             let results = page.results.len();
             let texts = page.results.iter().map(|result| unpack_text(&result.packed_text));
             let texts: Vec<Vec<u8>> = match texts.collect() {
@@ -439,10 +443,10 @@
 ) -> Response<FrontBody> {
     let body = |shard: ShardIndex| {
         let (job, item, customer) = (job.to_owned(), item.to_owned(), customer.to_owned());
-        shard_request::Body::BodyOf(JobBody { shard: shard.get(), job, item, customer })
+        shard_request::Body::ItemBodyRead(ItemBodyRead { shard: shard.get(), job, item, customer })
     };
     match client.ask_job(job, CALL_TIME, body).await {
-        Ok(shard_answer::Body::Bytes(bytes)) => {
+        Ok(shard_response::Body::Bytes(bytes)) => {
             answer::whole(StatusCode::OK, "application/octet-stream", Bytes::from(bytes.body))
         }
         Ok(_) => uncertain(client, "body", job, ShardFault::Unknown),
--- a/crates/front/src/plain.rs
+++ b/crates/front/src/plain.rs
@@ -9,7 +9,7 @@
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 use ids::whole_millis;
-use node::{NodeView, PlainCall, PlainEnd, call_plain};
+use node::{NodeView, PlainCall, PlainOutcome, call_plain};
 use platform::headers;
 use routing::Route;
 use tokio::time::{self, Instant};
@@ -93,15 +93,15 @@
         headers: sent_headers,
         body,
         deadline,
-        may_wait: false,
+        is_background: false,
         customer: admitted.caller.customer().cloned(),
     };
     let end = time::timeout_at(deadline, call_plain(view, call)).await;
     let (outcome, response) = match end {
-        Ok(PlainEnd::Answered(whole)) => ("answered", answer::pass_on(whole)),
-        Ok(PlainEnd::NotRun(reason)) => ("not run", answer::not_run(reason, Some(&id))),
-        Ok(PlainEnd::Condemned) => ("condemned", answer::condemned(&id)),
-        Ok(PlainEnd::Unknown(reason)) => (
+        Ok(PlainOutcome::Answered(whole)) => ("answered", answer::pass_on(whole)),
+        Ok(PlainOutcome::NotRun(reason)) => ("not run", answer::not_run(reason, Some(&id))),
+        Ok(PlainOutcome::Quarantined) => ("condemned", answer::condemned(&id)),
+        Ok(PlainOutcome::Unknown(reason)) => (
             "unknown",
             answer::refuse(
                 StatusCode::BAD_GATEWAY,
--- a/crates/front/src/role.rs
+++ b/crates/front/src/role.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 use links::{LinkPool, LinkSettings};
-use node::duties::DutySink;
+use node::duties::AssignmentSink;
 use node::feed::follow_feed;
-use node::follow::KindFollower;
+use node::follow::KindWatcher;
 use node::sinks::{ConfigSink, EvacuationSink, TargetSink};
-use node::{NodeSettings, NodeView, keep_suspects, serve_metrics, tell_counts};
+use node::{NodeSettings, NodeView, log_counters, serve_metrics, sync_suspects};
 use platform::{Kind, ObjectStore};
 use tokio::net::TcpListener;
 use tokio::time::{self, Instant};
@@ -69,10 +69,10 @@
     if let Some(address) = metrics {
         tokio::spawn(serve_metrics(Arc::clone(&view), address));
     }
-    tokio::spawn(tell_counts(Arc::clone(&view)));
+    tokio::spawn(log_counters(Arc::clone(&view)));
     let links = LinkPool::new(link_settings, end.clone());
     start_followers(&view, &links, &end);
-    tokio::spawn(keep_suspects(Arc::clone(&view), false, end.clone()));
+    tokio::spawn(sync_suspects(Arc::clone(&view), false, end.clone()));
     let shards = ShardClient::new(Arc::clone(&view), links);
     tokio::spawn(watch_isolation(Arc::clone(&view), shards.clone(), end.clone()));
     let state = FrontState::new(view, shards, CancellationToken::new());
@@ -92,18 +92,18 @@
 fn start_followers(view: &Arc<NodeView>, links: &LinkPool, end: &CancellationToken) {
     let v = || Arc::clone(view);
     let none = Duration::ZERO;
-    view.feed.only_listen();
-    let mut config = KindFollower::new(view, Kind::Configuration, none, ConfigSink(v()));
-    let mut targets = KindFollower::new(view, Kind::Targets, GATHER_TARGETS, TargetSink::new(v()));
-    let mut duties = KindFollower::new(view, Kind::Duties, GATHER_DUTIES, DutySink(v()));
+    view.feed.set_receive_only();
+    let mut config = KindWatcher::new(view, Kind::Configuration, none, ConfigSink(v()));
+    let mut targets = KindWatcher::new(view, Kind::Targets, GATHER_TARGETS, TargetSink::new(v()));
+    let mut duties = KindWatcher::new(view, Kind::Duties, GATHER_DUTIES, AssignmentSink(v()));
     // It tells which boxes to ask, and whom to hand jobs to; who is asked in vain says so.
-    duties.begin_old();
+    duties.allow_stale_first_list();
     // Requests are served by what is known, and there are hundreds of these boxes.
-    config.hear_later();
+    config.defer_recovery_probe();
     let mut fed = vec![config.feed(), targets.feed(), duties.feed()];
     if view.settings.evacuations {
         let sink = EvacuationSink(v());
-        let mut evacuations = KindFollower::new(view, Kind::Evacuations, none, sink);
+        let mut evacuations = KindWatcher::new(view, Kind::Evacuations, none, sink);
         fed.push(evacuations.feed());
         tokio::spawn(evacuations.run(end.clone()));
     }
@@ -116,7 +116,7 @@
 /// Waits until another box has heard what was counted of the last requests, for a feed's wait at most.
 async fn tell_counts_of_last(state: &FrontState, last: Instant) {
     let until = last.min(Instant::now() + LAST_COUNTS);
-    while Instant::now() < until && !state.view.usage.is_told() {
+    while Instant::now() < until && !state.view.usage.is_fully_reported() {
         time::sleep(STOP_LOOK).await;
     }
 }
--- a/crates/front/src/stream.rs
+++ b/crates/front/src/stream.rs
@@ -9,12 +9,13 @@
 use http_body_util::{Either, Full};
 use ids::{InstanceId, WorkDigest};
 use node::{
-    NodeView, RunningSlot, TargetChoice, WorkNeed, choose_target, note_break, request_work,
+    NodeView, SlotGuard, TargetChoice, WorkRequirements, choose_target, record_disconnect,
+    request_work,
 };
 use platform::headers;
-use routing::{Route, TargetFailure, TargetSlot};
+use routing::{ChosenTarget, Route, TargetFailure};
 use tokio::time::{self, Instant};
-use upstream::{SendError, TargetAnswer};
+use upstream::{SendError, TargetResponse};
 
 use crate::admission::AdmittedRequest;
 use crate::answer::{self, FrontBody, StreamBroken};
@@ -42,11 +43,11 @@
     let work = request_work(&head.method, &head.headers, &head.uri, &body);
     let mut tried: Vec<InstanceId> = Vec::new();
     for _ in 0..TRIES {
-        let need = WorkNeed { work, tried: &tried, again: false, may_wait: false };
+        let need = WorkRequirements { work, tried: &tried, again: false, is_background: false };
         let slot = match choose_target(view, route, &need) {
             TargetChoice::Target(slot) => slot,
             TargetChoice::None => break,
-            TargetChoice::Condemned => return condemned(view, route, &id, work),
+            TargetChoice::Quarantined => return condemned(view, route, &id, work),
         };
         let place = slot.slot();
         let mut request = Request::new(Full::new(body.clone()));
@@ -67,7 +68,7 @@
             Ok(Err(SendError::NoRoom)) => break,
             Ok(Err(SendError::Broken(_))) => {
                 note_failure(view, place, TargetFailure::Broken);
-                note_break(view, place, work);
+                record_disconnect(view, place, work);
                 return unknown(view, &id, work);
             }
             Err(_elapsed) => {
@@ -75,7 +76,7 @@
                 return unknown(view, &id, work);
             }
         };
-        let facts = headers::answer_facts(answer.headers());
+        let facts = headers::response_info(answer.headers());
         if facts.request_id.as_deref().is_some_and(|other| other != id) {
             note_failure(view, place, TargetFailure::Broken);
             return unknown(view, &id, work);
@@ -126,14 +127,14 @@
     )
 }
 
-fn note_failure(view: &NodeView, slot: &TargetSlot, failure: TargetFailure) {
+fn note_failure(view: &NodeView, slot: &ChosenTarget, failure: TargetFailure) {
     view.board().failed(view.now(), &slot.instance, failure);
 }
 
 fn pass_stream(
     view: &Arc<NodeView>,
-    slot: RunningSlot,
-    answer: TargetAnswer,
+    slot: SlotGuard,
+    answer: TargetResponse,
     work: WorkDigest,
 ) -> Response<FrontBody> {
     let (pieces, body) = Channel::new(PIECES);
@@ -148,7 +149,7 @@
             StreamEnd::CallerLeft => {}
             StreamEnd::Broken => {
                 note_failure(&view, slot.slot(), TargetFailure::Broken);
-                note_break(&view, slot.slot(), work);
+                record_disconnect(&view, slot.slot(), work);
                 view.suspects().given_up(work);
                 view.suspects_changed();
             }
@@ -166,7 +167,7 @@
 
 /// Copies a body; ends early when the caller is gone, which closes the target's connection.
 async fn copy_pieces(
-    mut answer: TargetAnswer,
+    mut answer: TargetResponse,
     mut pieces: Sender<Bytes, StreamBroken>,
 ) -> StreamEnd {
     loop {
--- a/crates/gannetctl/src/commands.rs
+++ b/crates/gannetctl/src/commands.rs
@@ -7,7 +7,7 @@
 
 use api::{AppliedBody, DEADLINE_HEADER, ErrorBody, REPEATABLE_HEADER, REQUEST_ID_HEADER};
 use client::{ClientError, EntryClient, IdleReport, TrainerClient};
-use ids::{AnswerDigest, ModelVersion, whole_millis};
+use ids::{ContentDigest, ModelVersion, whole_millis};
 use ledger::{GroupSpec, Sample, SlotSet, StepSpec};
 use pools::parse_pool;
 use rand::Rng;
@@ -208,10 +208,10 @@
     })?;
     let status = response.status().as_u16();
     let stated = response.headers().get(api::DIGEST_HEADER).and_then(|value| value.to_str().ok());
-    let stated: Option<AnswerDigest> = stated.and_then(|text| text.parse().ok());
+    let stated: Option<ContentDigest> = stated.and_then(|text| text.parse().ok());
     let body = response.bytes().await.map_err(|error| ClientError::Broken(error.to_string()))?;
     match stated {
-        Some(digest) if digest == AnswerDigest::of(&body) => {}
+        Some(digest) if digest == ContentDigest::of(&body) => {}
         Some(_) => {
             return Err(ClientError::Broken("the body does not match its digest".to_owned()).into());
         }
--- a/crates/gannetctl/src/step_account.rs
+++ b/crates/gannetctl/src/step_account.rs
@@ -44,7 +44,7 @@
 
 /// One step. Moments are seconds of the logs' clock; none where nothing tells them.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub(crate) struct StepAccount {
+pub(crate) struct StepTimings {
     pub model: String,
     pub step: u64,
     pub job: String,
@@ -68,7 +68,7 @@
     pub holds: Vec<StepHold>,
 }
 
-impl StepAccount {
+impl StepTimings {
     /// Reads the line that a step's server writes at its end.
     pub fn read(line: &LogLine) -> Option<Self> {
         let seconds = |name: &str| line.number(name).filter(|ms| *ms >= 0.0).map(|ms| ms / 1_000.0);
@@ -153,7 +153,7 @@
 /// Gathers the lines that tell of steps.
 #[derive(Debug, Default)]
 pub(crate) struct StepLines {
-    steps: Vec<(StepAccount, u64)>,
+    steps: Vec<(StepTimings, u64)>,
     asked: HashMap<String, f64>,
     named: HashMap<(String, u64), f64>,
 }
@@ -165,7 +165,7 @@
         match line.event.as_str() {
             "step told" => {
                 let oldest = line.number("min_version").map_or(0, whole);
-                self.steps.extend(StepAccount::read(line).map(|step| (step, oldest)));
+                self.steps.extend(StepTimings::read(line).map(|step| (step, oldest)));
             }
             "job handed in" if line.text("outcome") == Some("accepted") => {
                 let Some(job) = line.text("job") else { return };
@@ -186,11 +186,11 @@
     }
 
     /// The steps, by model and number.
-    pub fn steps(self) -> Vec<StepAccount> {
+    pub fn steps(self) -> Vec<StepTimings> {
         let Self { steps, asked, named } = self;
-        let mut told: Vec<StepAccount> = steps
+        let mut told: Vec<StepTimings> = steps
             .into_iter()
-            .map(|(step, oldest)| StepAccount {
+            .map(|(step, oldest)| StepTimings {
                 asked_at: asked.get(&step.job).copied(),
                 named_at: named.get(&(step.model.clone(), oldest)).copied(),
                 ..step
--- a/crates/gannetctl/src/step_picture.rs
+++ b/crates/gannetctl/src/step_picture.rs
@@ -4,7 +4,7 @@
 
 use plotters::prelude::*;
 
-use crate::step_account::StepAccount;
+use crate::step_account::StepTimings;
 
 /// Size of the picture, in pixels.
 const WIDTH: u32 = 1_200;
@@ -28,7 +28,7 @@
 /// was listed, orange until it was read, green until the step ended; red where it ended without.
 pub(crate) fn draw_steps(
     file: &Path,
-    steps: &[StepAccount],
+    steps: &[StepTimings],
 ) -> Result<(), DrawingAreaErrorKind<std::io::Error>> {
     let rows = u32::try_from(steps.len()).unwrap_or(u32::MAX);
     let begun = steps.iter().map(|step| step.taken_at).fold(f64::INFINITY, f64::min);
@@ -63,7 +63,7 @@
     root.present()
 }
 
-fn row_of(steps: &[StepAccount], row: f64) -> Option<&StepAccount> {
+fn row_of(steps: &[StepTimings], row: f64) -> Option<&StepTimings> {
     steps
         .iter()
         .zip(0_u32..)
@@ -71,7 +71,7 @@
         .map(|(step, _)| step)
 }
 
-fn stretches(step: &StepAccount) -> Vec<Stretch> {
+fn stretches(step: &StepTimings) -> Vec<Stretch> {
     let grey = RGBColor(170, 170, 170);
     let blue = RGBColor(70, 120, 190);
     let orange = RGBColor(240, 160, 60);
--- a/crates/gannetctl/src/steps.rs
+++ b/crates/gannetctl/src/steps.rs
@@ -4,7 +4,7 @@
 use crate::exit::CliError;
 use crate::log_lines::{each_line, unreadable};
 use crate::output::{Table, print};
-use crate::step_account::{StepAccount, StepLines};
+use crate::step_account::{StepLines, StepTimings};
 use crate::step_picture::draw_steps;
 
 /// Tells the steps whose lines are in the logs.
@@ -29,7 +29,7 @@
     Ok(())
 }
 
-fn table(steps: &[StepAccount]) -> Table {
+fn table(steps: &[StepTimings]) -> Table {
     let heading = [
         "MODEL",
         "STEP",
--- a/crates/gannetwayd/src/conductor.rs
+++ b/crates/gannetwayd/src/conductor.rs
@@ -14,9 +14,9 @@
 use links::CallError;
 use objects::{ObjectKey, ObjectKind};
 use pools::PoolSpec;
-use swaps::{SwapAction, SwapConductor, SwapOrder};
+use swaps::{RolloutAction, RolloutCoordinator, SwapOrder};
 use tokio::time;
-use wire::peer::{self, OrderOutcome, ReadReplica, item, request};
+use wire::peer::{self, OrderOutcome, ReadReplica, request, response_item};
 
 use crate::context::{BoxContext, new_request, wire_millis};
 use crate::lease::{LeaseAnswer, call_store};
@@ -52,7 +52,7 @@
     ctx: BoxContext,
     /// The claim on the domain's lease, while this box is the one that should hold it.
     claim: Option<LeaseClaim>,
-    conductors: HashMap<PoolName, SwapConductor>,
+    conductors: HashMap<PoolName, RolloutCoordinator>,
 }
 
 #[derive(Debug)]
@@ -140,13 +140,13 @@
         for (spec, replicas) in pools {
             let conductor = self.conductors.entry(spec.name.clone()).or_insert_with(|| {
                 log::info!(target: "conductor", pool:% = spec.name, token:% = token; "conducting");
-                SwapConductor::new(now, token)
+                RolloutCoordinator::new(now, token)
             });
             conductor.want(spec.version, spec.swap, replicas);
             for action in conductor.poll(now) {
                 match action {
-                    SwapAction::Order(order) => send_order(&self.ctx, &spec.name, order, me),
-                    SwapAction::Read(target) => send_read(&self.ctx, &spec.name, target, me),
+                    RolloutAction::Order(order) => send_order(&self.ctx, &spec.name, order, me),
+                    RolloutAction::Read(target) => send_read(&self.ctx, &spec.name, target, me),
                 }
             }
         }
@@ -241,13 +241,13 @@
         Err(error) => Err(error),
     };
     match answer.map(|item| item.body) {
-        Ok(Some(item::Body::OrderEnded(ended))) => match ended.outcome() {
+        Ok(Some(response_item::Body::OrderEnded(ended))) => match ended.outcome() {
             OrderOutcome::Done => Some(true),
             OrderOutcome::Refused => Some(false),
             OrderOutcome::Unknown => None,
         },
         Ok(_) => None,
-        Err(error) => error.surely_not_run().then_some(false),
+        Err(error) => error.definitely_not_run().then_some(false),
     }
 }
 
@@ -257,7 +257,8 @@
 ) -> Result<(Incarnation, Option<ModelVersion>), CallError> {
     let body = request::Body::ReadReplica(ReadReplica { target: target.to_string() });
     let stream = call_home(ctx, target, new_request(body, "", READ_SILENCE)).await?;
-    let Some(item::Body::Replica(replica)) = stream.single(READ_SILENCE).await?.body else {
+    let Some(response_item::Body::Replica(replica)) = stream.single(READ_SILENCE).await?.body
+    else {
         return Err(CallError::Broken { why: "an answer that is no reading" });
     };
     let version = replica.version.filter(|_| !replica.loading).map(ModelVersion::new);
--- a/crates/gannetwayd/src/context.rs
+++ b/crates/gannetwayd/src/context.rs
@@ -6,7 +6,7 @@
 
 use coord::members::{MemberRecord, MemberTable};
 use ids::{RequestId, TargetId, whole_millis};
-use links::{AnswerSink, AnswerStream, CallError, LinkPool};
+use links::{CallError, LinkPool, ResponseSink, ResponseStream};
 use objects::HttpStore;
 use pools::{FleetConfig, TargetIndex, TargetRecord};
 use rand::Rng;
@@ -56,7 +56,7 @@
     /// The request.
     pub request: Request,
     /// Where its answer goes.
-    pub sink: AnswerSink,
+    pub sink: ResponseSink,
     /// Ends when the caller goes away.
     pub cancel: CancellationToken,
 }
@@ -111,11 +111,11 @@
 
 impl BoxParts {
     /// Sends a request to a box, this one or another.
-    pub async fn call(&self, place: &Place, request: Request) -> Result<AnswerStream, CallError> {
+    pub async fn call(&self, place: &Place, request: Request) -> Result<ResponseStream, CallError> {
         match place {
             Place::At(address) => self.links.call(address, request).await,
             Place::Here => {
-                let (sink, stream, cancel) = AnswerStream::local();
+                let (sink, stream, cancel) = ResponseStream::local();
                 let sent = self.local.send(LocalRequest { request, sink, cancel });
                 sent.map_err(|_closed| CallError::NotSent { address: "this box".to_owned() })?;
                 Ok(stream)
--- a/crates/gannetwayd/src/documents.rs
+++ b/crates/gannetwayd/src/documents.rs
@@ -16,7 +16,7 @@
 use rand::Rng;
 use tokio::sync::watch;
 use tokio::time;
-use wire::peer::{FetchDocuments, item, request};
+use wire::peer::{FetchDocuments, request, response_item};
 
 use crate::context::{BoxContext, Documents, Place, new_request};
 
@@ -213,7 +213,7 @@
     let request = new_request(body, "", FETCH_SILENCE);
     let stream = ctx.call(&Place::At(address), request).await?;
     let answer = stream.single(FETCH_SILENCE).await?;
-    let Some(item::Body::Documents(documents)) = answer.body else {
+    let Some(response_item::Body::Documents(documents)) = answer.body else {
         return Err(CallError::Broken { why: "an answer that holds no documents" });
     };
     let config = serde_json::from_slice(&documents.config).ok();
@@ -258,7 +258,7 @@
 fn is_watcher(ctx: &BoxContext, kind: ObjectKind) -> bool {
     let now = ctx.clock.now();
     let duty = format!("watch/{kind}");
-    ctx.members.borrow().ranked_here(now, &duty, WATCHERS).contains(&ctx.me.id)
+    ctx.members.borrow().ranked_in_own_domain(now, &duty, WATCHERS).contains(&ctx.me.id)
 }
 
 /// Hands a listing to the actor; `None` when the actor is gone.
--- a/crates/gannetwayd/src/home.rs
+++ b/crates/gannetwayd/src/home.rs
@@ -8,8 +8,8 @@
 use ids::{ModelVersion, Moment, TargetId, TokenCount};
 use kameo::prelude::*;
 use placement::{
-    Admission, Ask, OrderOutcome, QueueEvent, Refusal, ReplicaReading, ReplicaStatus, TargetHint,
-    TargetQueue, TicketId,
+    Admission, AdmissionRequest, OrderOutcome, QueueEvent, Refusal, ReplicaReading, ReplicaStatus,
+    TargetHint, TargetQueue, TicketId,
 };
 use pools::{TargetKind, TargetRecord};
 use targets::{EngineClient, EngineState, TargetError};
@@ -53,7 +53,7 @@
 
 /// Asks for a place at the target.
 #[derive(Debug)]
-pub struct AskPlace(pub Ask);
+pub struct AskPlace(pub AdmissionRequest);
 
 /// The answer to [`AskPlace`].
 #[derive(Debug, Reply)]
@@ -186,10 +186,10 @@
         };
         self.queue.set_limit(limit);
         match documents.target(&self.record.id) {
-            Some(record) if !record.leaving => self.queue.told_staying(),
+            Some(record) if !record.leaving => self.queue.clear_leaving(),
             // Gone from the list counts as leaving, once a list is there at all.
-            Some(_) => self.queue.told_leaving(),
-            None if documents.ready => self.queue.told_leaving(),
+            Some(_) => self.queue.mark_leaving(),
+            None if documents.ready => self.queue.mark_leaving(),
             None => {}
         }
     }
--- a/crates/gannetwayd/src/http/answer.rs
+++ b/crates/gannetwayd/src/http/answer.rs
@@ -6,7 +6,7 @@
 use axum::http::header::{AUTHORIZATION, CONTENT_TYPE, RETRY_AFTER};
 use axum::http::{HeaderMap, StatusCode};
 use axum::response::{IntoResponse, Response};
-use ids::AnswerDigest;
+use ids::ContentDigest;
 use links::CallError;
 use opentelemetry::trace::SpanKind;
 use rand::Rng;
@@ -54,7 +54,7 @@
 pub fn whole_json<T: Serialize>(value: &T) -> Result<Response, Failure> {
     let body = serde_json::to_vec(value)
         .map_err(|error| Failure(ErrorBody::new(ErrorKind::Unknown, error.to_string())))?;
-    let digest = AnswerDigest::of(&body).to_string();
+    let digest = ContentDigest::of(&body).to_string();
     let headers = [(CONTENT_TYPE.as_str(), "application/json".to_owned()), (DIGEST_HEADER, digest)];
     Ok((headers, body).into_response())
 }
--- a/crates/gannetwayd/src/http/commands.rs
+++ b/crates/gannetwayd/src/http/commands.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use api::{
-    AdvanceBody, AppliedBody, ErrorBody, ErrorKind, HeldBody, OpenBody, PullAnswer, PullBody,
+    AdvanceBody, AppliedBody, CloseBody, ErrorBody, ErrorKind, OpenBody, PullBody, PullResponse,
 };
 use axum::extract::{Path, Query, State};
 use axum::http::HeaderMap;
@@ -99,13 +99,13 @@
     let body = request::Body::PullStep(PullStep {
         step: Some(path.step_ref(pull.seen)?),
         held: pull.held.as_bytes().to_vec(),
-        most: pull.most,
+        max_samples: pull.most,
         wait_ms,
     });
     let wait = Duration::from_millis(wait_ms);
     let answer = call_keeper(&state, &path, &headers, body, wait).await?;
     let samples: Result<Vec<Sample>, Failure> = answer.samples.into_iter().map(sample).collect();
-    whole_json(&PullAnswer { samples: samples?, state: step_state(answer.state)? })
+    whole_json(&PullResponse { samples: samples?, state: step_state(answer.state)? })
 }
 
 /// Names a newer version.
@@ -131,7 +131,7 @@
     headers: HeaderMap,
     WholeBody(body): WholeBody,
 ) -> Answer {
-    let held: HeldBody = read_json(&body)?;
+    let held: CloseBody = read_json(&body)?;
     let step = path.step_ref(held.seen)?;
     let body = request::Body::CloseStep(CloseStep { step: Some(step) });
     call_keeper(&state, &path, &headers, body, Duration::ZERO).await?;
--- a/crates/gannetwayd/src/http/plain.rs
+++ b/crates/gannetwayd/src/http/plain.rs
@@ -11,12 +11,12 @@
 use axum::http::{HeaderMap, Method, StatusCode, Uri};
 use axum::response::{IntoResponse, Response};
 use coord::retry::{Backoff, RetryBudget};
-use ids::{AnswerDigest, Moment, RequestId, ServiceName, TargetId};
+use ids::{ContentDigest, Moment, RequestId, ServiceName, TargetId};
 use links::CallError;
-use placement::{NotRun, TargetChoice, TargetChooser};
+use placement::{NotRun, PlacementPolicy, TargetChooser};
 use rand::Rng;
 use tokio::time;
-use wire::peer::{PlainCall, PlainPart, Request, item, request};
+use wire::peer::{PlainCall, PlainPart, Request, request, response_item};
 
 use crate::context::{BoxContext, new_request_id, wire_millis};
 use crate::http::HttpState;
@@ -134,7 +134,7 @@
             path: format!("/{path}{query}"),
             body,
             repeatable,
-            passed_on: false,
+            forwarded: false,
         },
     };
     let part = run.to_its_end(&service).await?;
@@ -148,7 +148,7 @@
     })?;
     let headers = [
         ("content-type", part.content_type.clone()),
-        (DIGEST_HEADER, AnswerDigest::of(&part.body).to_string()),
+        (DIGEST_HEADER, ContentDigest::of(&part.body).to_string()),
         (REQUEST_ID_HEADER, request_id.to_string()),
     ];
     Ok((status, headers, part.body.clone()).into_response())
@@ -166,7 +166,7 @@
                 Ok(part) => return Ok(part),
                 Err(error) => error,
             };
-            let safe = self.repeatable || error.surely_not_run();
+            let safe = self.repeatable || error.definitely_not_run();
             let pause = BACKOFF.delay(retry, rand::rng().random());
             let in_time = self.ctx().clock.now() + pause < self.deadline;
             if !safe || !in_time || !lock(&self.state.plain.budget).try_retry() {
@@ -193,7 +193,7 @@
         let mut chooser = lock(&self.state.plain.chooser);
         let chosen = chooser
             .choose(now, targets, None, &mut rand::rng())
-            .or_else(|| chooser.choose_resting(targets))
+            .or_else(|| chooser.choose_backed_off(targets))
             .cloned();
         let Some(id) = chosen else {
             let error = wire_not_run(NotRun::Overloaded, BUSY_RETRY);
@@ -221,7 +221,7 @@
             Err(error) => Err(error),
         };
         match answer.map(|item| item.body) {
-            Ok(Some(item::Body::PlainPart(part))) => {
+            Ok(Some(response_item::Body::PlainPart(part))) => {
                 lock(&placed.router.chooser).succeeded(target);
                 Ok(part)
             }
--- a/crates/gannetwayd/src/http/queries.rs
+++ b/crates/gannetwayd/src/http/queries.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-use api::{BoxStatus, ErrorBody, ErrorKind, KeptStatus, PeerStatus, PoolsBody};
+use api::{BoxStatus, ErrorBody, ErrorKind, KeeperStatus, PeerStatus, PoolsBody};
 use axum::Json;
 use axum::extract::{Path, State};
 use axum::http::{HeaderMap, StatusCode};
@@ -153,11 +153,11 @@
     }
 }
 
-async fn kept(ctx: &BoxContext) -> Vec<KeptStatus> {
+async fn kept(ctx: &BoxContext) -> Vec<KeeperStatus> {
     let mut kept = Vec::new();
     for (key, handle) in ctx.keepers.all() {
         let Ok(view) = handle.actor.ask(QueryKeeper).await else { continue };
-        kept.push(KeptStatus {
+        kept.push(KeeperStatus {
             pool: key.pool,
             trainer: key.trainer.to_string(),
             token: view.acting.unwrap_or_default(),
--- a/crates/gannetwayd/src/keeper/actor.rs
+++ b/crates/gannetwayd/src/keeper/actor.rs
@@ -7,9 +7,9 @@
 use ids::{FencingToken, ModelVersion, Moment, StepNumber, VersionWindow};
 use kameo::prelude::*;
 use keeping::{
-    AttemptEnd, KeeperAction, KeeperRefusal, KeeperSettings, KeptState, Placement, StepKeeper,
+    AttemptOutcome, KeeperAction, KeeperRefusal, KeeperSettings, KeptState, Placement, StepKeeper,
 };
-use ledger::{HandOut, Pull, Settled, SlotSet, StepSnapshot, StepSpec};
+use ledger::{Pull, PulledBatch, Settled, SlotSet, StepSnapshot, StepSpec};
 use placement::TargetHint;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -58,7 +58,7 @@
 #[derive(Debug)]
 pub struct Pulled {
     /// The samples.
-    pub out: HandOut,
+    pub out: PulledBatch,
     /// The step's state.
     pub state: KeptState,
     /// Whether the pull should be answered now rather than wait for news.
@@ -132,7 +132,7 @@
 #[derive(Debug)]
 struct AttemptDone {
     placement: Placement,
-    end: AttemptEnd,
+    end: AttemptOutcome,
     hint: Option<TargetHint>,
 }
 
@@ -363,10 +363,10 @@
     async fn handle(&mut self, msg: AttemptDone, ctx: &mut Context<Self, ()>) {
         let now = self.ctx.clock.now();
         let label = match &msg.end {
-            AttemptEnd::Made(_) => AttemptLabel::Made,
-            AttemptEnd::NotRun { .. } => AttemptLabel::NotRun,
-            AttemptEnd::Unusable => AttemptLabel::Unusable,
-            AttemptEnd::TooOld => AttemptLabel::TooOld,
+            AttemptOutcome::Made(_) => AttemptLabel::Made,
+            AttemptOutcome::NotRun { .. } => AttemptLabel::NotRun,
+            AttemptOutcome::Unusable => AttemptLabel::Unusable,
+            AttemptOutcome::TooOld => AttemptLabel::TooOld,
         };
         let settled = self.keeper.attempt_ended(now, &msg.placement, msg.end, msg.hint);
         let label = match settled {
--- a/crates/gannetwayd/src/keeper/attempt.rs
+++ b/crates/gannetwayd/src/keeper/attempt.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
-use ids::{AnswerDigest, Incarnation, ModelVersion, TargetId, TokenCount, VersionWindow};
-use keeping::{AttemptEnd, Placement};
-use ledger::{ChunkStamp, Sample, StampTrail};
-use links::{AnswerStream, CallError};
+use ids::{ContentDigest, Incarnation, ModelVersion, TargetId, TokenCount, VersionWindow};
+use keeping::{AttemptOutcome, Placement};
+use ledger::{ChunkAssembler, ChunkStamp, Sample};
+use links::{CallError, ResponseStream};
 use opentelemetry::trace::SpanKind;
 use placement::{NotRun, TargetHint};
 use tokio::sync::watch;
 use tokio::time;
-use wire::peer::{Chunk, Generate, Request, Score, TargetLoad, item, request};
+use wire::peer::{Chunk, Generate, Request, Score, TargetLoad, request, response_item};
 
 use crate::context::{BoxContext, new_request};
 use crate::keeper::KeeperKey;
@@ -37,7 +37,7 @@
     key: &KeeperKey,
     placement: &Placement,
     window: watch::Receiver<VersionWindow>,
-) -> (AttemptEnd, Option<TargetHint>) {
+) -> (AttemptOutcome, Option<TargetHint>) {
     let span = ctx.tracer.hop("attempt", SpanKind::Client, "");
     span.note("slot", i64::from(placement.assignment.slot.get()));
     span.note("target", placement.target.to_string());
@@ -61,7 +61,7 @@
 type Generated = (Vec<ledger::VersionSpan>, String);
 
 impl AttemptRun<'_> {
-    async fn generate(&mut self) -> Result<Generated, AttemptEnd> {
+    async fn generate(&mut self) -> Result<Generated, AttemptOutcome> {
         let assignment = &self.placement.assignment;
         let body = request::Body::Generate(Generate {
             target: self.placement.target.to_string(),
@@ -71,7 +71,7 @@
             seed: self.seed(),
             floor: assignment.window.floor.get(),
             named: assignment.window.named.get(),
-            passed_on: false,
+            forwarded: false,
         });
         let request = self.request(body, QUEUE_WAIT);
         let called = call_home(self.ctx, &self.placement.target, request).await;
@@ -79,31 +79,31 @@
         self.gather(&mut stream).await
     }
 
-    async fn gather(&mut self, stream: &mut AnswerStream) -> Result<Generated, AttemptEnd> {
-        let mut trail = StampTrail::default();
+    async fn gather(&mut self, stream: &mut ResponseStream) -> Result<Generated, AttemptOutcome> {
+        let mut trail = ChunkAssembler::default();
         let mut silence = FIRST_SILENCE;
         while let Some(item) = stream.next(silence).await.map_err(|error| self.failed(&error))? {
             silence = STREAM_SILENCE;
             match item.body {
-                Some(item::Body::Load(load)) => self.hint = Some(hint_of(&load)),
-                Some(item::Body::Chunk(chunk)) => {
+                Some(response_item::Body::Load(load)) => self.hint = Some(hint_of(&load)),
+                Some(response_item::Body::Chunk(chunk)) => {
                     let taken = trail.chunk(stamp_of(&chunk), &chunk.text);
                     taken.map_err(|error| self.unusable(&error))?;
                     let window = *self.window.borrow();
                     if trail.oldest().is_some_and(|oldest| window.is_too_old(oldest)) {
-                        return Err(AttemptEnd::TooOld);
+                        return Err(AttemptOutcome::TooOld);
                     }
                 }
-                _ => return Err(AttemptEnd::Unusable),
+                _ => return Err(AttemptOutcome::Unusable),
             }
         }
-        let Some(end) = stream.end() else { return Err(AttemptEnd::Unusable) };
+        let Some(end) = stream.end() else { return Err(AttemptOutcome::Unusable) };
         let finished =
-            trail.finish(TokenCount::new(end.tokens), AnswerDigest::new(end.text_digest));
+            trail.finish(TokenCount::new(end.tokens), ContentDigest::new(end.text_digest));
         finished.map_err(|error| self.unusable(&error))
     }
 
-    async fn judge(&self, spans: Vec<ledger::VersionSpan>, text: String) -> AttemptEnd {
+    async fn judge(&self, spans: Vec<ledger::VersionSpan>, text: String) -> AttemptOutcome {
         let scorers = {
             let documents = self.ctx.documents.borrow();
             documents.config.pool(&self.key.pool).map(|pool| pool.scorers.clone())
@@ -112,10 +112,10 @@
         let score = if scorers.is_empty() { None } else { self.score(&scorers, &text).await };
         if score.is_none() && !scorers.is_empty() {
             log::warn!(target: "keeper", trainer:% = self.key; "no scorer answered, sample made again");
-            return AttemptEnd::Unusable;
+            return AttemptOutcome::Unusable;
         }
         self.ctx.metrics.tokens.inc_by(spans.iter().map(|span| u64::from(span.tokens.get())).sum());
-        AttemptEnd::Made(Sample {
+        AttemptOutcome::Made(Sample {
             slot: self.placement.assignment.slot,
             spans,
             text,
@@ -145,11 +145,11 @@
             target: scorer.to_string(),
             prompt: self.placement.assignment.prompt.to_string(),
             text: text.to_owned(),
-            passed_on: false,
+            forwarded: false,
         });
         let stream = call_home(self.ctx, scorer, self.request(body, SCORE_TIME)).await?;
         match stream.single(SCORE_TIME).await?.body {
-            Some(item::Body::Scored(answer)) => Ok(answer.score),
+            Some(response_item::Body::Scored(answer)) => Ok(answer.score),
             _ => Err(CallError::Broken { why: "an answer that is no score" }),
         }
     }
@@ -165,26 +165,26 @@
             "{}/{}/{}/{}",
             self.key, self.placement.step, assignment.slot, assignment.attempt
         );
-        AnswerDigest::of(name.as_bytes()).get()
+        ContentDigest::of(name.as_bytes()).get()
     }
 
-    fn unusable(&self, error: &ledger::TrailError) -> AttemptEnd {
+    fn unusable(&self, error: &ledger::ChunkError) -> AttemptOutcome {
         log::warn!(target: "keeper", trainer:% = self.key, at:% = self.placement.target, error:% = error; "sample unusable");
-        AttemptEnd::Unusable
+        AttemptOutcome::Unusable
     }
 
-    fn failed(&mut self, error: &CallError) -> AttemptEnd {
+    fn failed(&mut self, error: &CallError) -> AttemptOutcome {
         log::debug!(target: "keeper", trainer:% = self.key, at:% = self.placement.target, error:% = error; "attempt failed");
         match error {
             CallError::NotSent { .. } => {
-                AttemptEnd::NotRun { reason: NotRun::Unreachable, retry_after: Duration::ZERO }
+                AttemptOutcome::NotRun { reason: NotRun::Unreachable, retry_after: Duration::ZERO }
             }
-            CallError::Broken { .. } | CallError::LinkLost => AttemptEnd::Unusable,
+            CallError::Broken { .. } | CallError::LinkLost => AttemptOutcome::Unusable,
             CallError::Refused(refused) => {
                 self.hint = refused.load.as_ref().map(hint_of).or(self.hint);
                 match not_run_of(refused) {
-                    Some((reason, retry_after)) => AttemptEnd::NotRun { reason, retry_after },
-                    None => AttemptEnd::Unusable,
+                    Some((reason, retry_after)) => AttemptOutcome::NotRun { reason, retry_after },
+                    None => AttemptOutcome::Unusable,
                 }
             }
         }
--- a/crates/gannetwayd/src/lease.rs
+++ b/crates/gannetwayd/src/lease.rs
@@ -1,6 +1,6 @@
 //! Carries out what a lease's claim wants of the platform.
 
-use coord::lease::{LeaseAction, LeaseRecord, LeaseSighting, ReadOutcome, WriteOutcome};
+use coord::lease::{LeaseAction, LeaseRecord, ReadOutcome, VersionedLease, WriteOutcome};
 use ids::ObjectVersion;
 use objects::{ObjectKey, ObjectStore, StoreError, StoredObject};
 
@@ -36,7 +36,7 @@
         Err(_) => return ReadOutcome::NoAnswer,
     };
     match serde_json::from_value::<LeaseRecord>(object.value) {
-        Ok(record) => ReadOutcome::Found(LeaseSighting { version: object.version, record }),
+        Ok(record) => ReadOutcome::Found(VersionedLease { version: object.version, record }),
         Err(error) => {
             log::error!(target: "lease", name:% = object.name, error:% = error; "lease cannot be read");
             ReadOutcome::NoAnswer
--- a/crates/gannetwayd/src/members.rs
+++ b/crates/gannetwayd/src/members.rs
@@ -3,15 +3,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use coord::members::{Heartbeat, Liveness, MemberRecord, MemberTable, OutgoingBeat, ToldRecord};
+use coord::members::{
+    Heartbeat, Liveness, MemberRecord, MemberTable, OutgoingHeartbeat, RelayedRecord,
+};
 use ids::{BoxId, DomainId, Incarnation};
 use kameo::prelude::*;
 use objects::{ObjectKind, ObjectStore, StoredObject};
 use serde::Deserialize;
 use tokio::sync::watch;
 use tokio::time;
-use wire::beat_to_wire;
-use wire::peer::Beat;
+use wire::heartbeat_to_wire;
+use wire::peer::BoxHeartbeat;
 
 use crate::context::BoxContext;
 
@@ -80,19 +82,23 @@
             let documents = self.ctx.documents.borrow();
             (documents.config.generation, documents.targets.list().revision)
         };
-        let due = now >= self.table.next_beat();
+        let due = now >= self.table.next_heartbeat_at();
         let mut beats = self.table.poll(now, generation);
         if due {
             beats.extend(self.greetings(&beats, generation));
         }
-        for OutgoingBeat { to, beat } in beats {
-            let beat = beat_to_wire(&beat, revision);
+        for OutgoingHeartbeat { to, beat } in beats {
+            let beat = heartbeat_to_wire(&beat, revision);
             self.send(to, beat);
         }
     }
 
     /// Beats to the peers named in the settings, while nobody else is known.
-    fn greetings(&self, beats: &[OutgoingBeat], generation: ids::Generation) -> Vec<OutgoingBeat> {
+    fn greetings(
+        &self,
+        beats: &[OutgoingHeartbeat],
+        generation: ids::Generation,
+    ) -> Vec<OutgoingHeartbeat> {
         if !beats.is_empty() {
             return Vec::new();
         }
@@ -106,10 +112,10 @@
             told: Vec::new(),
         };
         let peers = self.ctx.settings.peers.iter();
-        peers.map(|peer| OutgoingBeat { to: peer.to_string(), beat: beat.clone() }).collect()
+        peers.map(|peer| OutgoingHeartbeat { to: peer.to_string(), beat: beat.clone() }).collect()
     }
 
-    fn send(&self, to: String, beat: Beat) {
+    fn send(&self, to: String, beat: BoxHeartbeat) {
         let bytes = prost::Message::encoded_len(&beat);
         self.ctx.metrics.beat_bytes.inc_by(bytes as u64);
         let ctx = Arc::clone(&self.ctx);
@@ -145,7 +151,7 @@
         for record in msg.0 {
             // The list only seeds: a box already known is judged by its own beats.
             if self.table.liveness(now, &record.id).is_none() {
-                self.table.told(now, ToldRecord { record, age: Duration::ZERO });
+                self.table.told(now, RelayedRecord { record, age: Duration::ZERO });
             }
         }
         self.publish();
--- a/crates/gannetwayd/src/peer.rs
+++ b/crates/gannetwayd/src/peer.rs
@@ -4,12 +4,15 @@
 use std::time::Duration;
 
 use kameo::actor::ActorRef;
-use links::{AnswerEnd, AnswerSink, PeerHandler};
+use links::{PeerHandler, ResponseEnd, ResponseSink};
 use opentelemetry::trace::SpanKind;
 use placement::NotRun;
 use tokio_util::sync::CancellationToken;
-use wire::peer::{Beat, Documents as WireDocuments, FetchDocuments, Item, Request, item, request};
-use wire::{beat_from_wire, parse_id};
+use wire::peer::{
+    BoxHeartbeat, Documents as WireDocuments, FetchDocuments, Request, ResponseItem, request,
+    response_item,
+};
+use wire::{heartbeat_from_wire, parse_id};
 
 use crate::context::BoxContext;
 use crate::documents::{DocumentActor, HeardGenerations};
@@ -44,7 +47,7 @@
 }
 
 impl PeerHandler for BoxHandler {
-    async fn request(&self, request: Request, sink: AnswerSink, cancel: CancellationToken) {
+    async fn request(&self, request: Request, sink: ResponseSink, cancel: CancellationToken) {
         let Some(body) = request.body else {
             return sink
                 .refuse(wire_bad_request("the request is empty: send one of its kinds"))
@@ -82,13 +85,13 @@
         }
     }
 
-    async fn beat(&self, beat: Beat) {
+    async fn beat(&self, beat: BoxHeartbeat) {
         let generations = parse_id(&beat.box_id).map(|peer| HeardGenerations {
             peer,
             config: ids::Generation::new(beat.config_generation),
             targets: ids::Generation::new(beat.targets_revision),
         });
-        let beat = match beat_from_wire(beat) {
+        let beat = match heartbeat_from_wire(beat) {
             Ok(beat) => beat,
             Err(error) => {
                 log::warn!(target: "members", error:% = error; "beat skipped");
@@ -112,7 +115,7 @@
             || heard.targets > documents.targets.list().revision
     }
 
-    async fn documents(&self, fetch: &FetchDocuments, mut sink: AnswerSink) {
+    async fn documents(&self, fetch: &FetchDocuments, mut sink: ResponseSink) {
         let documents = self.ctx.documents.borrow().clone();
         let newer_config = documents.config.generation.get() > fetch.config_generation;
         let newer_targets = documents.targets.list().revision.get() > fetch.targets_revision;
@@ -121,9 +124,9 @@
         let base = ids::Generation::new(fetch.config_generation);
         let config = encode_if(newer_config, &documents.config.since(base));
         let targets = encode_if(newer_targets, documents.targets.list());
-        let body = item::Body::Documents(WireDocuments { config, targets });
-        sink.item(Item { body: Some(body) }).await;
-        sink.end(AnswerEnd::default()).await;
+        let body = response_item::Body::Documents(WireDocuments { config, targets });
+        sink.item(ResponseItem { body: Some(body) }).await;
+        sink.end(ResponseEnd::default()).await;
     }
 }
 
--- a/crates/gannetwayd/src/route.rs
+++ b/crates/gannetwayd/src/route.rs
@@ -6,13 +6,15 @@
 
 use coord::lease::LeaseRecord;
 use ids::{Moment, TargetId};
-use links::{AnswerStream, CallError};
+use links::{CallError, ResponseStream};
 use objects::ObjectStore;
 use placement::NotRun;
 use pools::TargetRecord;
 use rand::Rng;
 use tokio::time;
-use wire::peer::{Refused, RefusedKind, Request, SampleItem, StepRef, StepState, item, request};
+use wire::peer::{
+    Refused, RefusedKind, Request, SampleItem, StepRef, StepState, request, response_item,
+};
 
 use crate::context::{BoxContext, Place, wire_millis};
 use crate::keeper::KeeperKey;
@@ -41,7 +43,7 @@
     ctx: &BoxContext,
     target: &TargetId,
     request: Request,
-) -> Result<AnswerStream, CallError> {
+) -> Result<ResponseStream, CallError> {
     let record = ctx.documents.borrow().target(target).cloned();
     let Some(record) = record else {
         return Err(refused(wire_not_run(NotRun::Unknown, DOMAIN_RETRY)));
@@ -147,9 +149,9 @@
         while let Some(item) = stream.next(patience).await? {
             patience = silence;
             match item.body {
-                Some(item::Body::Heard(_)) => {}
-                Some(item::Body::Sample(sample)) => answer.samples.push(sample),
-                Some(item::Body::StepState(state)) => answer.state = Some(state),
+                Some(response_item::Body::Ack(_)) => {}
+                Some(response_item::Body::Sample(sample)) => answer.samples.push(sample),
+                Some(response_item::Body::StepState(state)) => answer.state = Some(state),
                 _ => return Err(CallError::Broken { why: "an answer that is about no step" }),
             }
         }
--- a/crates/gannetwayd/src/serve/step.rs
+++ b/crates/gannetwayd/src/serve/step.rs
@@ -8,12 +8,13 @@
 use kameo::message::Message;
 use keeping::{KeeperRefusal, KeptState};
 use ledger::{GroupSpec, Pull, Sample, SlotSet, StepSpec};
-use links::{AnswerEnd, AnswerSink};
+use links::{ResponseEnd, ResponseSink};
 use placement::NotRun;
 use tokio::time;
 use wire::parse_id;
 use wire::peer::{
-    self, Heard, Item, Refused, SampleItem, Span, StepRef, StepState, TakeOver, item,
+    self, Refused, RequestAck, ResponseItem, SampleItem, Span, StepRef, StepState, TakeOver,
+    response_item,
 };
 
 use crate::context::BoxContext;
@@ -32,13 +33,13 @@
 type Answer<T> = Result<T, Refused>;
 
 /// Says at once that the request is here; what follows may wait for a lease or for samples.
-async fn say_heard(served: &Served<'_>, sink: &mut AnswerSink) {
+async fn say_heard(served: &Served<'_>, sink: &mut ResponseSink) {
     let by = served.ctx.me.id.to_string();
-    sink.item(Item { body: Some(item::Body::Heard(Heard { by })) }).await;
+    sink.item(ResponseItem { body: Some(response_item::Body::Ack(RequestAck { by })) }).await;
 }
 
 /// Opens a step.
-pub async fn open(served: &Served<'_>, open: peer::OpenStep, mut sink: AnswerSink) {
+pub async fn open(served: &Served<'_>, open: peer::OpenStep, mut sink: ResponseSink) {
     say_heard(served, &mut sink).await;
     let answered = async {
         let (handle, step, seen) = keeper(served, open.step.as_ref())?;
@@ -59,7 +60,7 @@
 }
 
 /// Pulls samples, waiting for the first.
-pub async fn pull(served: &Served<'_>, pull: peer::PullStep, mut sink: AnswerSink) {
+pub async fn pull(served: &Served<'_>, pull: peer::PullStep, mut sink: ResponseSink) {
     say_heard(served, &mut sink).await;
     match pull_when_ready(served, pull).await {
         Ok(pulled) => send_pulled(served, &pulled, sink).await,
@@ -68,7 +69,7 @@
 }
 
 /// Names a newer version.
-pub async fn advance(served: &Served<'_>, advance: peer::AdvanceStep, mut sink: AnswerSink) {
+pub async fn advance(served: &Served<'_>, advance: peer::AdvanceStep, mut sink: ResponseSink) {
     say_heard(served, &mut sink).await;
     let answered = async {
         let (handle, step, seen) = keeper(served, advance.step.as_ref())?;
@@ -79,20 +80,20 @@
 }
 
 /// Closes a step.
-pub async fn close(served: &Served<'_>, close: peer::CloseStep, mut sink: AnswerSink) {
+pub async fn close(served: &Served<'_>, close: peer::CloseStep, mut sink: ResponseSink) {
     say_heard(served, &mut sink).await;
     let answered = async {
         let (handle, step, seen) = keeper(served, close.step.as_ref())?;
         ask_until_kept(served, &handle, || CloseStep { step, seen }).await
     };
     match answered.await {
-        Ok(()) => sink.end(AnswerEnd::default()).await,
+        Ok(()) => sink.end(ResponseEnd::default()).await,
         Err(refused) => sink.refuse(refused).await,
     }
 }
 
 /// Tells a step's state.
-pub async fn status(served: &Served<'_>, status: peer::StepStatus, mut sink: AnswerSink) {
+pub async fn status(served: &Served<'_>, status: peer::StepStatus, mut sink: ResponseSink) {
     say_heard(served, &mut sink).await;
     let answered = async {
         let (handle, step, _) = keeper(served, status.step.as_ref())?;
@@ -102,7 +103,7 @@
 }
 
 /// Takes the steps of a box that stops.
-pub async fn take_over(served: &Served<'_>, take: TakeOver, sink: AnswerSink) {
+pub async fn take_over(served: &Served<'_>, take: TakeOver, sink: ResponseSink) {
     let taken = async {
         if served.ctx.is_leaving() {
             return Err(wire_not_run(NotRun::Stopping, Duration::ZERO));
@@ -116,7 +117,7 @@
         handle.actor.tell(adopt).await.map_err(|_stopped| stopping())
     };
     match taken.await {
-        Ok(()) => sink.end(AnswerEnd::default()).await,
+        Ok(()) => sink.end(ResponseEnd::default()).await,
         Err(refused) => sink.refuse(refused).await,
     }
 }
@@ -208,7 +209,7 @@
 
 async fn pull_when_ready(served: &Served<'_>, pull: peer::PullStep) -> Answer<Pulled> {
     let (handle, step, seen) = keeper(served, pull.step.as_ref())?;
-    let most = usize::try_from(pull.most).unwrap_or(MOST_SAMPLES).clamp(1, MOST_SAMPLES);
+    let most = usize::try_from(pull.max_samples).unwrap_or(MOST_SAMPLES).clamp(1, MOST_SAMPLES);
     let pull_of = Pull { held: SlotSet::from_bytes(pull.held), seen, most };
     let mut changes = handle.changes.clone();
     let wait = Duration::from_millis(pull.wait_ms);
@@ -237,31 +238,31 @@
     }
 }
 
-async fn send_pulled(served: &Served<'_>, pulled: &Pulled, mut sink: AnswerSink) {
+async fn send_pulled(served: &Served<'_>, pulled: &Pulled, mut sink: ResponseSink) {
     for sample in &pulled.out.samples {
-        let body = item::Body::Sample(sample_item(sample));
-        if !sink.item(Item { body: Some(body) }).await {
+        let body = response_item::Body::Sample(sample_item(sample));
+        if !sink.item(ResponseItem { body: Some(body) }).await {
             return;
         }
     }
     let state = state_item(served, &pulled.state);
     sink.item(state).await;
-    sink.end(AnswerEnd::default()).await;
+    sink.end(ResponseEnd::default()).await;
 }
 
-async fn answer_state(served: &Served<'_>, answered: Answer<KeptState>, mut sink: AnswerSink) {
+async fn answer_state(served: &Served<'_>, answered: Answer<KeptState>, mut sink: ResponseSink) {
     match answered {
         Ok(state) => {
             sink.item(state_item(served, &state)).await;
-            sink.end(AnswerEnd::default()).await;
+            sink.end(ResponseEnd::default()).await;
         }
         Err(refused) => sink.refuse(refused).await,
     }
 }
 
-fn state_item(served: &Served<'_>, state: &KeptState) -> Item {
+fn state_item(served: &Served<'_>, state: &KeptState) -> ResponseItem {
     let progress = state.progress;
-    let body = item::Body::StepState(StepState {
+    let body = response_item::Body::StepState(StepState {
         token: state.token.get(),
         named: state.named.get(),
         bound: state.rule.bound,
@@ -276,7 +277,7 @@
         cause: progress.cause.name().to_owned(),
         keeper: served.ctx.me.id.to_string(),
     });
-    Item { body: Some(body) }
+    ResponseItem { body: Some(body) }
 }
 
 fn sample_item(sample: &Sample) -> SampleItem {
--- a/crates/gannetwayd/src/serve/target.rs
+++ b/crates/gannetwayd/src/serve/target.rs
@@ -7,17 +7,17 @@
 
 use ids::{FencingToken, Moment, RequestId, TargetId, TokenCount, VersionWindow};
 use kameo::actor::ActorRef;
-use links::{AnswerEnd, AnswerSink};
-use placement::{Ask, NotRun, OrderOutcome, Refusal, ReplicaStatus, TicketId};
+use links::{ResponseEnd, ResponseSink};
+use placement::{AdmissionRequest, NotRun, OrderOutcome, Refusal, ReplicaStatus, TicketId};
 use pools::TargetRecord;
 use targets::{
-    EngineClient, EngineLine, GenerateRequest, OrderAnswer, OrderRequest, PlainClient,
+    EngineClient, EngineLine, GenerateRequest, OrderRequest, OrderResponse, PlainClient,
     PlainRequest, ScoreRequest, TargetError,
 };
 use tokio::runtime::Handle;
 use wire::peer::{
-    self, Chunk, Item, OrderEnded, PlainPart, Refused, Replica, Request, Scored, TargetLoad, item,
-    request,
+    self, Chunk, OrderEnded, PlainPart, Refused, Replica, Request, ResponseItem, Scored,
+    TargetLoad, request, response_item,
 };
 use wire::{ConvertError, parse_id};
 
@@ -70,15 +70,15 @@
 }
 
 /// Where the request must be passed on to, unless this box is the home or it was passed once.
-fn elsewhere(ctx: &BoxContext, record: &TargetRecord, passed_on: bool) -> Option<Place> {
-    if passed_on {
+fn elsewhere(ctx: &BoxContext, record: &TargetRecord, forwarded: bool) -> Option<Place> {
+    if forwarded {
         return None;
     }
     home_place(ctx, record).filter(|place| *place != Place::Here)
 }
 
 /// Passes a request on to the home and its answer back.
-async fn pass_on(served: &Served<'_>, place: &Place, body: request::Body, mut sink: AnswerSink) {
+async fn pass_on(served: &Served<'_>, place: &Place, body: request::Body, mut sink: ResponseSink) {
     let request = Request {
         request_id: served.request_id.clone(),
         traceparent: served.traceparent.clone(),
@@ -107,7 +107,11 @@
 }
 
 /// Waits for a place at the target.
-async fn place_at(served: &Served<'_>, home: &HomeHandle, ask: Ask) -> Answer<HeldPlace> {
+async fn place_at(
+    served: &Served<'_>,
+    home: &HomeHandle,
+    ask: AdmissionRequest,
+) -> Answer<HeldPlace> {
     let answer = home.actor.ask(AskPlace(ask)).await;
     let held = |ticket| {
         let traffic = served.ctx.traffic.clone();
@@ -148,13 +152,13 @@
 }
 
 /// Generates one sample.
-pub async fn generate(served: &Served<'_>, generate: peer::Generate, mut sink: AnswerSink) {
+pub async fn generate(served: &Served<'_>, generate: peer::Generate, mut sink: ResponseSink) {
     let record = match record(served.ctx, &generate.target) {
         Ok(record) => record,
         Err(refused) => return sink.refuse(refused).await,
     };
-    if let Some(place) = elsewhere(served.ctx, &record, generate.passed_on) {
-        let body = request::Body::Generate(peer::Generate { passed_on: true, ..generate });
+    if let Some(place) = elsewhere(served.ctx, &record, generate.forwarded) {
+        let body = request::Body::Generate(peer::Generate { forwarded: true, ..generate });
         return pass_on(served, &place, body, sink).await;
     }
     match generate_here(served, &record, generate, &mut sink).await {
@@ -167,13 +171,13 @@
     served: &Served<'_>,
     record: &TargetRecord,
     generate: peer::Generate,
-    sink: &mut AnswerSink,
-) -> Answer<AnswerEnd> {
+    sink: &mut ResponseSink,
+) -> Answer<ResponseEnd> {
     let bad = |error: ConvertError| wire_bad_request(error.to_string());
     let request_id: RequestId = parse_id(&served.request_id).map_err(bad)?;
     let trainer = parse_id(&generate.trainer).map_err(bad)?;
     let home = served.ctx.homes.home(served.ctx, record);
-    let ask = Ask {
+    let ask = AdmissionRequest {
         trainer: Some(trainer),
         window: Some(VersionWindow {
             floor: ids::ModelVersion::new(generate.floor),
@@ -183,7 +187,7 @@
     };
     let mut place = place_at(served, &home, ask).await?;
     if let Some(load) = load_of(&home).await {
-        sink.item(Item { body: Some(item::Body::Load(load)) }).await;
+        sink.item(ResponseItem { body: Some(response_item::Body::Load(load)) }).await;
     }
     let engine = EngineClient::new(&record.address, served.ctx.traffic_http.clone());
     let order = GenerateRequest {
@@ -214,10 +218,10 @@
                     incarnation: incarnation.get(),
                     text,
                 };
-                sink.item(Item { body: Some(item::Body::Chunk(chunk)) }).await;
+                sink.item(ResponseItem { body: Some(response_item::Body::Chunk(chunk)) }).await;
             }
             EngineLine::End { tokens, digest } => {
-                return Ok(AnswerEnd { tokens: tokens.get(), text_digest: digest.get() });
+                return Ok(ResponseEnd { tokens: tokens.get(), text_digest: digest.get() });
             }
         }
     }
@@ -235,19 +239,19 @@
 }
 
 /// Sends a plain request, once.
-pub async fn plain(served: &Served<'_>, call: peer::PlainCall, mut sink: AnswerSink) {
+pub async fn plain(served: &Served<'_>, call: peer::PlainCall, mut sink: ResponseSink) {
     let record = match record(served.ctx, &call.target) {
         Ok(record) => record,
         Err(refused) => return sink.refuse(refused).await,
     };
-    if let Some(place) = elsewhere(served.ctx, &record, call.passed_on) {
-        let body = request::Body::PlainCall(peer::PlainCall { passed_on: true, ..call });
+    if let Some(place) = elsewhere(served.ctx, &record, call.forwarded) {
+        let body = request::Body::PlainCall(peer::PlainCall { forwarded: true, ..call });
         return pass_on(served, &place, body, sink).await;
     }
     match plain_here(served, &record, call).await {
         Ok(part) => {
-            sink.item(Item { body: Some(item::Body::PlainPart(part)) }).await;
-            sink.end(AnswerEnd::default()).await;
+            sink.item(ResponseItem { body: Some(response_item::Body::PlainPart(part)) }).await;
+            sink.end(ResponseEnd::default()).await;
         }
         Err(refused) => sink.refuse(refused).await,
     }
@@ -261,7 +265,7 @@
     let request_id: RequestId =
         parse_id(&served.request_id).map_err(|error| wire_bad_request(error.to_string()))?;
     let home = served.ctx.homes.home(served.ctx, record);
-    let ask = Ask { trainer: None, window: None, deadline: deadline(served) };
+    let ask = AdmissionRequest { trainer: None, window: None, deadline: deadline(served) };
     let _place = place_at(served, &home, ask).await?;
     let client = PlainClient::new(&record.address, served.ctx.traffic_http.clone());
     let request = PlainRequest {
@@ -281,17 +285,17 @@
 }
 
 /// Has a sample judged.
-pub async fn score(served: &Served<'_>, score: peer::Score, mut sink: AnswerSink) {
+pub async fn score(served: &Served<'_>, score: peer::Score, mut sink: ResponseSink) {
     let record = match record(served.ctx, &score.target) {
         Ok(record) => record,
         Err(refused) => return sink.refuse(refused).await,
     };
-    if let Some(place) = elsewhere(served.ctx, &record, score.passed_on) {
-        let body = request::Body::Score(peer::Score { passed_on: true, ..score });
+    if let Some(place) = elsewhere(served.ctx, &record, score.forwarded) {
+        let body = request::Body::Score(peer::Score { forwarded: true, ..score });
         return pass_on(served, &place, body, sink).await;
     }
     let home = served.ctx.homes.home(served.ctx, &record);
-    let ask = Ask { trainer: None, window: None, deadline: deadline(served) };
+    let ask = AdmissionRequest { trainer: None, window: None, deadline: deadline(served) };
     let _place = match place_at(served, &home, ask).await {
         Ok(place) => place,
         Err(refused) => return sink.refuse(refused).await,
@@ -301,15 +305,15 @@
     match client.score(&request).await {
         Ok(answer) => {
             let scored = Scored { score: answer.score };
-            sink.item(Item { body: Some(item::Body::Scored(scored)) }).await;
-            sink.end(AnswerEnd::default()).await;
+            sink.item(ResponseItem { body: Some(response_item::Body::Scored(scored)) }).await;
+            sink.end(ResponseEnd::default()).await;
         }
         Err(error) => sink.refuse(wire_target_error(&error)).await,
     }
 }
 
 /// Orders the engine to load a version, and notes at the home that it may change.
-pub async fn order(served: &Served<'_>, order: peer::SwapOrder, mut sink: AnswerSink) {
+pub async fn order(served: &Served<'_>, order: peer::SwapOrder, mut sink: ResponseSink) {
     let record = match record(served.ctx, &order.target) {
         Ok(record) => record,
         Err(refused) => return sink.refuse(refused).await,
@@ -333,21 +337,21 @@
         OrderOutcome::Unknown => peer::OrderOutcome::Unknown,
     };
     let ended = OrderEnded { outcome: outcome.into() };
-    sink.item(Item { body: Some(item::Body::OrderEnded(ended)) }).await;
-    sink.end(AnswerEnd::default()).await;
+    sink.item(ResponseItem { body: Some(response_item::Body::OrderEnded(ended)) }).await;
+    sink.end(ResponseEnd::default()).await;
 }
 
-fn order_outcome(answer: Result<OrderAnswer, TargetError>) -> OrderOutcome {
+fn order_outcome(answer: Result<OrderResponse, TargetError>) -> OrderOutcome {
     match answer {
-        Ok(OrderAnswer::Done) => OrderOutcome::Done,
-        Ok(OrderAnswer::Refused { .. }) => OrderOutcome::Refused,
-        Err(error) if error.surely_not_run() => OrderOutcome::Refused,
+        Ok(OrderResponse::Done) => OrderOutcome::Done,
+        Ok(OrderResponse::Refused { .. }) => OrderOutcome::Refused,
+        Err(error) if error.definitely_not_run() => OrderOutcome::Refused,
         Err(_) => OrderOutcome::Unknown,
     }
 }
 
 /// Reads the engine's state now.
-pub async fn read(served: &Served<'_>, read: peer::ReadReplica, mut sink: AnswerSink) {
+pub async fn read(served: &Served<'_>, read: peer::ReadReplica, mut sink: ResponseSink) {
     let record = match record(served.ctx, &read.target) {
         Ok(record) => record,
         Err(refused) => return sink.refuse(refused).await,
@@ -363,8 +367,8 @@
                 token: reading.token.get(),
                 leaving: reading.leaving,
             };
-            sink.item(Item { body: Some(item::Body::Replica(replica)) }).await;
-            sink.end(AnswerEnd::default()).await;
+            sink.item(ResponseItem { body: Some(response_item::Body::Replica(replica)) }).await;
+            sink.end(ResponseEnd::default()).await;
         }
         Err(error) => sink.refuse(wire_target_error(&error)).await,
     }
--- a/crates/ids/src/digest.rs
+++ b/crates/ids/src/digest.rs
@@ -11,9 +11,9 @@
 /// 64-bit digest of a whole answer's bytes; guards against loss, not against forgery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct AnswerDigest(u64);
+pub struct ContentDigest(u64);
 
-impl AnswerDigest {
+impl ContentDigest {
     /// Digest of `bytes`.
     pub fn of(bytes: &[u8]) -> Self {
         Self(xxhash_rust::xxh3::xxh3_64(bytes))
@@ -30,13 +30,13 @@
     }
 }
 
-impl fmt::Display for AnswerDigest {
+impl fmt::Display for ContentDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0)
     }
 }
 
-impl FromStr for AnswerDigest {
+impl FromStr for ContentDigest {
     type Err = NumberError;
 
     fn from_str(text: &str) -> Result<Self, NumberError> {
@@ -69,8 +69,8 @@
     }
 
     /// Digest of all chunks taken so far.
-    pub fn digest(&self) -> AnswerDigest {
-        AnswerDigest(self.hash.digest())
+    pub fn digest(&self) -> ContentDigest {
+        ContentDigest(self.hash.digest())
     }
 }
 
--- a/crates/ids/src/lib.rs
+++ b/crates/ids/src/lib.rs
@@ -13,14 +13,14 @@
 mod window;
 mod work;
 
-pub use digest::{AnswerDigest, DigestWriter};
-pub use life::TargetLife;
+pub use digest::{ContentDigest, DigestWriter};
+pub use life::TargetIncarnation;
 pub use moment::{Moment, whole_millis};
 pub use number::{
-    BirthTime, FencingToken, Generation, Incarnation, ModelVersion, NumberError, ObjectVersion,
-    ShardIndex, SlotIndex, StepNumber, TokenCount,
+    FencingToken, Generation, Incarnation, ModelVersion, NumberError, ObjectVersion, ShardIndex,
+    SlotIndex, StartTime, StepNumber, TokenCount,
 };
-pub use place::RecordPlace;
+pub use place::RecordLocation;
 pub use text::{
     BoxId, CustomerName, DomainId, IdError, InstanceId, ItemId, JobId, ModelName, PoolName,
     RequestId, RouteName, ServiceName, SoftwareVersion, TargetId, TrainerId,
--- a/crates/ids/src/number.rs
+++ b/crates/ids/src/number.rs
@@ -119,5 +119,5 @@
 }
 number_id! {
     /// When a life of a target began, in Unix milliseconds of its own clock; zero where it is not told.
-    BirthTime(u64), "time of birth"
+    StartTime(u64), "time of birth"
 }
--- a/crates/joblog/src/copy.rs
+++ b/crates/joblog/src/copy.rs
@@ -6,7 +6,7 @@
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-use ids::{RecordPlace, ShardIndex};
+use ids::{RecordLocation, ShardIndex};
 use wire::peer::LogRecord;
 
 use crate::{EpochId, decode_records};
@@ -81,7 +81,7 @@
         &self,
         shard: ShardIndex,
         epoch: &EpochId,
-        mut take: impl FnMut(LogRecord, RecordPlace),
+        mut take: impl FnMut(LogRecord, RecordLocation),
     ) -> Result<usize, CopyError> {
         let mut file = File::open(self.path(shard, epoch))?;
         let mut bytes = Vec::new();
@@ -93,7 +93,7 @@
             bytes.drain(..used);
             count += records.len();
             for (record, len) in records {
-                take(record, RecordPlace { offset, len });
+                take(record, RecordLocation { offset, len });
                 offset += u64::from(len);
             }
             if more == 0 {
@@ -107,7 +107,7 @@
         &self,
         shard: ShardIndex,
         epoch: &EpochId,
-        places: &[RecordPlace],
+        places: &[RecordLocation],
     ) -> Result<Vec<LogRecord>, CopyError> {
         let mut file = File::open(self.path(shard, epoch))?;
         let mut records = Vec::with_capacity(places.len());
--- a/crates/joblog/src/duty.rs
+++ b/crates/joblog/src/duty.rs
@@ -6,11 +6,11 @@
 use ids::{BoxId, DomainId, ShardIndex};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::{CopyHolder, ShardPlan};
+use crate::{ShardPlan, StorageBox};
 
 /// Silence after which the next copy's box takes the shard over. Beats come every 250 ms; two
 /// of them may be lost or late.
-pub const TAKE_AFTER: Duration = Duration::from_millis(850);
+pub const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(850);
 /// Further patience when the server's box refuses connections: its process is started again
 /// within about a second, and may go on without the wait that follows a change of holder.
 pub const RESTART_PATIENCE: Duration = Duration::from_millis(700);
@@ -32,7 +32,7 @@
 
 /// Whether a box should rather serve a shard or not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum DutyIntent {
+pub enum TakeoverPreference {
     /// Neither.
     Stays,
     /// It is to be emptied or to stop.
@@ -43,7 +43,7 @@
 
 /// What a box knows when it decides.
 #[derive(Debug, Clone, Copy)]
-pub struct DutyView<'a> {
+pub struct TakeoverView<'a> {
     /// This box.
     pub me: &'a BoxId,
     /// The plan as last read; `None` when the store holds none.
@@ -54,7 +54,7 @@
     /// to wait for these.
     pub lost_before: usize,
     /// How long the plan's server has not said that it serves the shard.
-    pub server_silent: Duration,
+    pub server_unresponsive_for: Duration,
     /// Whether the server's box refuses connections since it was last heard.
     pub server_restarts: bool,
     /// Place of this box among those that could begin a shard without a plan.
@@ -62,12 +62,12 @@
     /// How long this box has known that there is no plan.
     pub no_plan_for: Duration,
     /// Whether it should rather serve or not, all else being equal.
-    pub intent: DutyIntent,
+    pub intent: TakeoverPreference,
 }
 
 /// What a box should do about a shard that it does not serve.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ShardDuty {
+pub enum TakeoverDecision {
     /// Begin to serve it: close the own copy, form a new epoch.
     Take,
     /// Nothing now.
@@ -75,41 +75,41 @@
 }
 
 /// Decides whether to take a shard.
-pub fn shard_duty(view: &DutyView<'_>) -> ShardDuty {
+pub fn decide_takeover(view: &TakeoverView<'_>) -> TakeoverDecision {
     let take = match view.plan {
         None => {
-            let patience = TAKE_AFTER * u32::try_from(view.first_rank).unwrap_or(u32::MAX);
-            view.intent != DutyIntent::Leaves && view.no_plan_for >= patience
+            let patience = TAKEOVER_TIMEOUT * u32::try_from(view.first_rank).unwrap_or(u32::MAX);
+            view.intent != TakeoverPreference::Leaves && view.no_plan_for >= patience
         }
         Some(plan) => match plan.rank(view.me) {
             Some(rank) if view.has_copy => {
-                let leaves = view.intent == DutyIntent::Leaves;
+                let leaves = view.intent == TakeoverPreference::Leaves;
                 let extra = if leaves { LEAVING_PATIENCE } else { Duration::ZERO };
                 let restart = if view.server_restarts { RESTART_PATIENCE } else { Duration::ZERO };
                 let rank = rank.saturating_sub(view.lost_before);
                 let extra = if rank > 0 { extra + restart } else { extra };
-                let patience = TAKE_AFTER * u32::try_from(rank).unwrap_or(u32::MAX) + extra;
-                view.intent == DutyIntent::Asked || view.server_silent >= patience
+                let patience = TAKEOVER_TIMEOUT * u32::try_from(rank).unwrap_or(u32::MAX) + extra;
+                view.intent == TakeoverPreference::Asked || view.server_unresponsive_for >= patience
             }
             _ => false,
         },
     };
-    if take { ShardDuty::Take } else { ShardDuty::Wait }
+    if take { TakeoverDecision::Take } else { TakeoverDecision::Wait }
 }
 
 /// The boxes that could begin a shard which has no plan yet, the best first, ranked alike on every box.
 ///
 /// The first boxes of all shards are different ones, in different failure domains for as long as there are
 /// any without: where chance alone ranked them, one box would begin several shards of a large deployment.
-pub fn first_ranked(shard: ShardIndex, boxes: &[CopyHolder]) -> Vec<&CopyHolder> {
-    let mut firsts: Vec<&CopyHolder> = Vec::new();
+pub fn rank_initial_servers(shard: ShardIndex, boxes: &[StorageBox]) -> Vec<&StorageBox> {
+    let mut firsts: Vec<&StorageBox> = Vec::new();
     let mut ranked = Vec::new();
     for number in 0..=shard.get() {
         ranked = ranked_boxes(&ShardIndex::new(number).to_string(), boxes);
         // All domains have had their turn alike when there is none with fewer firsts.
         let firsts_in =
-            |copy: &CopyHolder| firsts.iter().filter(|first| first.domain == copy.domain).count();
-        let free = |copy: &&CopyHolder| firsts.iter().all(|first| first.box_id != copy.box_id);
+            |copy: &StorageBox| firsts.iter().filter(|first| first.domain == copy.domain).count();
+        let free = |copy: &&StorageBox| firsts.iter().all(|first| first.box_id != copy.box_id);
         let candidates = ranked.iter().enumerate().filter(|(_, copy)| free(copy));
         let Some((at, _)) = candidates.min_by_key(|(at, copy)| (firsts_in(copy), *at)) else {
             // More shards than boxes: chance alone.
@@ -122,7 +122,7 @@
     ranked
 }
 
-fn ranked_boxes<'a>(key: &str, boxes: &'a [CopyHolder]) -> Vec<&'a CopyHolder> {
+fn ranked_boxes<'a>(key: &str, boxes: &'a [StorageBox]) -> Vec<&'a StorageBox> {
     let ids = boxes.iter().map(|copy| &copy.box_id);
     let ranked = coord::rendezvous::ranked(key, ids, boxes.len()).into_iter();
     ranked.filter_map(|box_id| boxes.iter().find(|copy| copy.box_id == *box_id)).collect()
@@ -137,13 +137,13 @@
 pub fn choose_partners(
     shard: ShardIndex,
     domain: &DomainId,
-    alive: &[CopyHolder],
+    alive: &[StorageBox],
     count: usize,
-) -> Option<Vec<CopyHolder>> {
+) -> Option<Vec<StorageBox>> {
     let mut left = ranked_boxes(&shard.to_string(), alive);
-    let mut chosen: Vec<CopyHolder> = Vec::new();
+    let mut chosen: Vec<StorageBox> = Vec::new();
     while chosen.len() < count {
-        let used = |copy: &CopyHolder| {
+        let used = |copy: &StorageBox| {
             copy.domain == *domain || chosen.iter().any(|other| other.domain == copy.domain)
         };
         let here = left.iter().position(|copy| copy.domain == *domain);
@@ -158,22 +158,22 @@
 /// As [`choose_partners`], without the boxes in `failing` and their failure domains, unless the
 /// copies would lie in fewer domains: a cut takes all boxes of a domain, and those not heard to
 /// fail yet are next.
-pub fn choose_sound_partners(
+pub fn choose_healthy_partners(
     shard: ShardIndex,
     domain: &DomainId,
-    alive: &[CopyHolder],
+    alive: &[StorageBox],
     failing: &[BoxId],
     count: usize,
-) -> Option<Vec<CopyHolder>> {
+) -> Option<Vec<StorageBox>> {
     let harmed: HashSet<&DomainId> = alive
         .iter()
         .filter(|copy| failing.contains(&copy.box_id))
         .map(|copy| &copy.domain)
         .collect();
     let sound = alive.iter().filter(|copy| !harmed.contains(&copy.domain));
-    let sound: Vec<CopyHolder> = sound.cloned().collect();
+    let sound: Vec<StorageBox> = sound.cloned().collect();
     let any = choose_partners(shard, domain, alive, count)?;
-    let spread = |copies: &[CopyHolder]| {
+    let spread = |copies: &[StorageBox]| {
         let domains: HashSet<&DomainId> =
             copies.iter().map(|copy| &copy.domain).chain([domain]).collect();
         domains.len()
--- a/crates/joblog/src/former.rs
+++ b/crates/joblog/src/former.rs
@@ -6,7 +6,7 @@
 
 use ids::{BoxId, FencingToken};
 
-use crate::{CopyHolder, EpochId, ShardPlan};
+use crate::{EpochId, ShardPlan, StorageBox};
 
 /// A plan as read, with the revision that a conditional write must name.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -19,7 +19,7 @@
 
 /// What is to be done next.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum FormStep {
+pub enum TakeoverStep {
     /// Read the plan from the store, not from a copy that may be old.
     ReadPlan,
     /// Begin with no records.
@@ -31,7 +31,7 @@
         /// The new epoch.
         epoch: EpochId,
         /// The boxes with the other copies.
-        partners: Vec<CopyHolder>,
+        partners: Vec<StorageBox>,
     },
     /// Write the plan in place of the one of this revision, or as the first.
     WritePlan {
@@ -50,12 +50,12 @@
         plan: ShardPlan,
     },
     /// Give it up for now.
-    Fail(FormFault),
+    Fail(TakeoverError),
 }
 
 /// Why a shard was not taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum FormFault {
+pub enum TakeoverError {
     /// The store did not answer.
     #[error("the store does not answer")]
     NoStore,
@@ -75,7 +75,7 @@
 
 /// How the write of a plan ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PlanWrite {
+pub enum PlanWriteOutcome {
     /// It was done, under this revision.
     Done(u64),
     /// Another plan, or this one by an earlier try, is there already.
@@ -95,46 +95,46 @@
     Copying,
     Writing { tries: u32 },
     Checking { tries: u32 },
-    Done(FormStep),
+    Done(TakeoverStep),
 }
 
 /// One try to take a shard over.
 #[derive(Debug, Clone)]
-pub struct EpochFormer {
-    me: CopyHolder,
+pub struct EpochTakeover {
+    me: StorageBox,
     number: u64,
     /// The epoch whose acknowledged records the box holds in memory.
     book_epoch: Option<EpochId>,
     base: Option<ReadPlan>,
-    partners: Vec<CopyHolder>,
+    partners: Vec<StorageBox>,
     state: FormState,
 }
 
-impl EpochFormer {
+impl EpochTakeover {
     /// A try by `me`; `number` is drawn anew for each try, and `book_epoch` is the epoch that
     /// this box has served until now, if it still holds its records.
-    pub const fn new(me: CopyHolder, number: u64, book_epoch: Option<EpochId>) -> Self {
+    pub const fn new(me: StorageBox, number: u64, book_epoch: Option<EpochId>) -> Self {
         Self { me, number, book_epoch, base: None, partners: Vec::new(), state: FormState::Read }
     }
 
-    /// The next step. [`FormStep::Serve`] and [`FormStep::Fail`] are last.
-    pub fn step(&self) -> FormStep {
+    /// The next step. [`TakeoverStep::Serve`] and [`TakeoverStep::Fail`] are last.
+    pub fn step(&self) -> TakeoverStep {
         match &self.state {
-            FormState::Read => FormStep::ReadPlan,
+            FormState::Read => TakeoverStep::ReadPlan,
             FormState::Base => match &self.base {
-                None => FormStep::BeginEmpty,
-                Some(base) => FormStep::CloseAndRead(base.plan.epoch.clone()),
+                None => TakeoverStep::BeginEmpty,
+                Some(base) => TakeoverStep::CloseAndRead(base.plan.epoch.clone()),
             },
             // Asked for through `partners`, which ends this state.
-            FormState::Partners => FormStep::Fail(FormFault::NoPartners),
+            FormState::Partners => TakeoverStep::Fail(TakeoverError::NoPartners),
             FormState::Copying => {
-                FormStep::Copy { epoch: self.epoch(), partners: self.partners.clone() }
+                TakeoverStep::Copy { epoch: self.epoch(), partners: self.partners.clone() }
             }
-            FormState::Writing { .. } => FormStep::WritePlan {
+            FormState::Writing { .. } => TakeoverStep::WritePlan {
                 base: self.base.as_ref().map(|base| base.revision),
                 plan: self.plan(),
             },
-            FormState::Checking { .. } => FormStep::CheckPlan,
+            FormState::Checking { .. } => TakeoverStep::CheckPlan,
             FormState::Done(step) => step.clone(),
         }
     }
@@ -145,7 +145,7 @@
     }
 
     /// Whether the partners are to be chosen now.
-    pub fn wants_partners(&self) -> bool {
+    pub fn needs_partners(&self) -> bool {
         self.state == FormState::Partners
     }
 
@@ -160,8 +160,8 @@
         ShardPlan { epoch: self.epoch(), copies: copies.collect() }
     }
 
-    fn fail(&mut self, fault: FormFault) {
-        self.state = FormState::Done(FormStep::Fail(fault));
+    fn fail(&mut self, fault: TakeoverError) {
+        self.state = FormState::Done(TakeoverStep::Fail(fault));
     }
 
     /// Takes the plan as read; `Err` when the store did not answer.
@@ -174,10 +174,10 @@
     }
 
     fn first_read(&mut self, read: Result<Option<ReadPlan>, ()>) {
-        let Ok(base) = read else { return self.fail(FormFault::NoStore) };
+        let Ok(base) = read else { return self.fail(TakeoverError::NoStore) };
         let me: &BoxId = &self.me.box_id;
         if base.as_ref().is_some_and(|base| base.plan.rank(me).is_none()) {
-            return self.fail(FormFault::Superseded);
+            return self.fail(TakeoverError::Superseded);
         }
         let epoch = base.as_ref().map(|base| base.plan.epoch.clone());
         let held = epoch.is_some() && epoch == self.book_epoch;
@@ -189,13 +189,13 @@
         match read {
             Ok(Some(current)) if current.plan == self.plan() => {
                 let (revision, plan) = (current.revision, current.plan);
-                self.state = FormState::Done(FormStep::Serve { revision, plan });
+                self.state = FormState::Done(TakeoverStep::Serve { revision, plan });
             }
             Ok(current)
                 if current.as_ref().map(|current| current.revision)
                     != self.base.as_ref().map(|base| base.revision) =>
             {
-                self.fail(FormFault::Superseded);
+                self.fail(TakeoverError::Superseded);
             }
             // As before the write: it was not done, or will be done late; the same write again
             // settles it either way.
@@ -205,28 +205,28 @@
 
     fn write_again(&mut self, tries: u32) {
         if tries >= PLAN_TRIES {
-            return self.fail(FormFault::NoStore);
+            return self.fail(TakeoverError::NoStore);
         }
         self.state = FormState::Writing { tries: tries + 1 };
     }
 
     /// Takes whether the records to begin with are in memory.
-    pub fn base_read(&mut self, read: bool) {
+    pub fn base_loaded(&mut self, read: bool) {
         if read {
             self.state = FormState::Partners;
         } else {
-            self.fail(FormFault::NoCopy);
+            self.fail(TakeoverError::NoCopy);
         }
     }
 
     /// Takes the boxes for the other copies; `None` when there are too few.
-    pub fn partners(&mut self, partners: Option<Vec<CopyHolder>>) {
+    pub fn partners(&mut self, partners: Option<Vec<StorageBox>>) {
         match partners {
             Some(partners) => {
                 self.partners = partners;
                 self.state = FormState::Copying;
             }
-            None => self.fail(FormFault::NoPartners),
+            None => self.fail(TakeoverError::NoPartners),
         }
     }
 
@@ -235,20 +235,20 @@
         if all {
             self.state = FormState::Writing { tries: 0 };
         } else {
-            self.fail(FormFault::CopyFailed);
+            self.fail(TakeoverError::CopyFailed);
         }
     }
 
     /// Takes how the write of the plan ended.
-    pub fn written(&mut self, end: PlanWrite) {
+    pub fn written(&mut self, end: PlanWriteOutcome) {
         let FormState::Writing { tries } = self.state else { return };
         match end {
-            PlanWrite::Done(revision) => {
+            PlanWriteOutcome::Done(revision) => {
                 let plan = self.plan();
-                self.state = FormState::Done(FormStep::Serve { revision, plan });
+                self.state = FormState::Done(TakeoverStep::Serve { revision, plan });
             }
-            PlanWrite::Conflict => self.state = FormState::Checking { tries },
-            PlanWrite::NoAnswer => self.write_again(tries),
+            PlanWriteOutcome::Conflict => self.state = FormState::Checking { tries },
+            PlanWriteOutcome::NoAnswer => self.write_again(tries),
         }
     }
 }
--- a/crates/joblog/src/lib.rs
+++ b/crates/joblog/src/lib.rs
@@ -26,11 +26,12 @@
 
 pub use copy::{CopyError, CopyFolder, LogCopyFile};
 pub use duty::{
-    DutyIntent, DutyView, LEAVING_PATIENCE, RESTART_PATIENCE, ShardDuty, TAKE_AFTER,
-    choose_partners, choose_sound_partners, first_ranked, shard_duty, shard_of, shard_of_job,
+    LEAVING_PATIENCE, RESTART_PATIENCE, TAKEOVER_TIMEOUT, TakeoverDecision, TakeoverPreference,
+    TakeoverView, choose_healthy_partners, choose_partners, decide_takeover, rank_initial_servers,
+    shard_of, shard_of_job,
 };
-pub use former::{EpochFormer, FormFault, FormStep, PlanWrite, ReadPlan};
+pub use former::{EpochTakeover, PlanWriteOutcome, ReadPlan, TakeoverError, TakeoverStep};
 pub use layout::ShardLayout;
-pub use plan::{CopyHolder, EpochError, EpochId, ShardPlan};
+pub use plan::{EpochError, EpochId, ShardPlan, StorageBox};
 pub use record::{decode_records, encode_record};
-pub use standby::boxes_at_work;
+pub use standby::active_boxes;
--- a/crates/joblog/src/plan.rs
+++ b/crates/joblog/src/plan.rs
@@ -59,7 +59,7 @@
 
 /// A box with a copy of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CopyHolder {
+pub struct StorageBox {
     /// The box.
     pub box_id: BoxId,
     /// Where other boxes reach it.
@@ -74,12 +74,12 @@
     /// The epoch in force.
     pub epoch: EpochId,
     /// All copies; the first is that of the box that serves the shard.
-    pub copies: Vec<CopyHolder>,
+    pub copies: Vec<StorageBox>,
 }
 
 impl ShardPlan {
     /// The box that serves the shard.
-    pub fn server(&self) -> Option<&CopyHolder> {
+    pub fn server(&self) -> Option<&StorageBox> {
         self.copies.first()
     }
 
--- a/crates/joblog/src/record.rs
+++ b/crates/joblog/src/record.rs
@@ -1,6 +1,6 @@
 //! Records as they lie on disk and travel: length, digest, message.
 
-use ids::RecordPlace;
+use ids::RecordLocation;
 use prost::Message;
 use wire::peer::LogRecord;
 use xxhash_rust::xxh3::xxh3_64;
@@ -11,7 +11,7 @@
 const DIGEST_BYTES: usize = 8;
 
 /// Appends a record to `out`, and says where it lies there.
-pub fn encode_record(record: &LogRecord, out: &mut Vec<u8>) -> RecordPlace {
+pub fn encode_record(record: &LogRecord, out: &mut Vec<u8>) -> RecordLocation {
     let offset = out.len();
     let body = record.encode_to_vec();
     let len = u32::try_from(body.len()).unwrap_or(u32::MAX);
@@ -19,7 +19,7 @@
     out.extend_from_slice(&xxh3_64(&body).to_le_bytes());
     out.extend_from_slice(&body);
     let len = u32::try_from(out.len() - offset).unwrap_or(u32::MAX);
-    RecordPlace { offset: offset as u64, len }
+    RecordLocation { offset: offset as u64, len }
 }
 
 /// The whole records at the start of `bytes`, each with its length, and how many bytes they take
--- a/crates/joblog/tests/copies.rs
+++ b/crates/joblog/tests/copies.rs
@@ -4,10 +4,10 @@
 use std::io::Write;
 use std::path::PathBuf;
 
-use ids::{RecordPlace, ShardIndex};
+use ids::{RecordLocation, ShardIndex};
 use joblog::{CopyError, CopyFolder, EpochId, encode_record};
 use wire::peer::log_record::Body;
-use wire::peer::{EndedJob, LogRecord};
+use wire::peer::{JobRef, LogRecord};
 
 const SHARD: ShardIndex = ShardIndex::new(0);
 
@@ -32,7 +32,7 @@
 }
 
 fn record(job: &str) -> LogRecord {
-    LogRecord { body: Some(Body::Ended(EndedJob { job: job.to_owned() })) }
+    LogRecord { body: Some(Body::Ended(JobRef { job: job.to_owned() })) }
 }
 
 #[test]
@@ -41,7 +41,7 @@
     let folder = CopyFolder::open(&test.0).expect("a folder");
     let mut file = folder.create(SHARD, &epoch()).expect("a copy");
     let mut bytes = Vec::new();
-    let places: Vec<RecordPlace> =
+    let places: Vec<RecordLocation> =
         ["a", "bb", "ccc"].iter().map(|job| encode_record(&record(job), &mut bytes)).collect();
     file.append(0, &bytes).expect("appended");
     file.sync().expect("on disk");
@@ -49,9 +49,9 @@
     assert_eq!(read, [record("ccc"), record("a")]);
     let mut seen = Vec::new();
     folder.read(SHARD, &epoch(), |record, place| seen.push((record, place))).expect("readable");
-    let found: Vec<RecordPlace> = seen.iter().map(|(_, place)| *place).collect();
+    let found: Vec<RecordLocation> = seen.iter().map(|(_, place)| *place).collect();
     assert_eq!(found, places);
-    let wrong = RecordPlace { offset: places[1].offset + 1, len: places[1].len };
+    let wrong = RecordLocation { offset: places[1].offset + 1, len: places[1].len };
     let fault = folder.load(SHARD, &epoch(), &[wrong]).expect_err("no record begins there");
     assert!(matches!(fault, CopyError::NoRecord { .. }), "{fault}");
 }
--- a/crates/joblog/tests/duty.rs
+++ b/crates/joblog/tests/duty.rs
@@ -4,8 +4,8 @@
 
 use ids::{BoxId, FencingToken};
 use joblog::{
-    CopyHolder, DutyIntent, DutyView, EpochId, RESTART_PATIENCE, ShardDuty, ShardPlan, TAKE_AFTER,
-    shard_duty,
+    EpochId, RESTART_PATIENCE, ShardPlan, StorageBox, TAKEOVER_TIMEOUT, TakeoverDecision,
+    TakeoverPreference, TakeoverView, decide_takeover,
 };
 
 fn box_id(text: &str) -> BoxId {
@@ -13,7 +13,7 @@
 }
 
 fn plan() -> ShardPlan {
-    let copies = ["a", "b", "c"].map(|name| CopyHolder {
+    let copies = ["a", "b", "c"].map(|name| StorageBox {
         box_id: box_id(name),
         address: "127.0.0.1:1".to_owned(),
         domain: "domain-1".parse().expect("a domain"),
@@ -22,35 +22,35 @@
     ShardPlan { epoch, copies: copies.into() }
 }
 
-fn takes(me: &str, lost_before: usize, server_silent: Duration, restarts: bool) -> bool {
+fn takes(me: &str, lost_before: usize, server_unresponsive_for: Duration, restarts: bool) -> bool {
     let (me, plan) = (box_id(me), plan());
-    let view = DutyView {
+    let view = TakeoverView {
         me: &me,
         plan: Some(&plan),
         has_copy: true,
         lost_before,
-        server_silent,
+        server_unresponsive_for,
         server_restarts: restarts,
         first_rank: 0,
         no_plan_for: Duration::ZERO,
-        intent: DutyIntent::Stays,
+        intent: TakeoverPreference::Stays,
     };
-    shard_duty(&view) == ShardDuty::Take
+    decide_takeover(&view) == TakeoverDecision::Take
 }
 
 #[test]
 fn boxes_take_over_in_the_order_of_the_plan() {
     assert!(takes("a", 0, Duration::ZERO, false), "the server itself goes on at once");
-    assert!(!takes("b", 0, TAKE_AFTER.saturating_sub(Duration::from_millis(1)), false));
-    assert!(takes("b", 0, TAKE_AFTER, false));
-    assert!(!takes("c", 0, TAKE_AFTER, false));
-    assert!(takes("c", 0, 2 * TAKE_AFTER, false));
+    assert!(!takes("b", 0, TAKEOVER_TIMEOUT.saturating_sub(Duration::from_millis(1)), false));
+    assert!(takes("b", 0, TAKEOVER_TIMEOUT, false));
+    assert!(!takes("c", 0, TAKEOVER_TIMEOUT, false));
+    assert!(takes("c", 0, 2 * TAKEOVER_TIMEOUT, false));
 }
 
 #[test]
 fn a_server_that_starts_again_is_given_time() {
-    assert!(!takes("b", 0, TAKE_AFTER, true));
-    assert!(takes("b", 0, TAKE_AFTER + RESTART_PATIENCE, true));
+    assert!(!takes("b", 0, TAKEOVER_TIMEOUT, true));
+    assert!(takes("b", 0, TAKEOVER_TIMEOUT + RESTART_PATIENCE, true));
 }
 
 /// All boxes have lost power, and the first two their disks as well.
@@ -58,6 +58,6 @@
 fn nobody_waits_for_copies_that_are_known_to_be_lost() {
     assert!(takes("c", 2, Duration::ZERO, true), "nobody else can go on");
     assert!(takes("b", 1, Duration::ZERO, true));
-    assert!(!takes("c", 1, TAKE_AFTER, true), "the one between them may go on");
-    assert!(takes("c", 1, TAKE_AFTER + RESTART_PATIENCE, true));
+    assert!(!takes("c", 1, TAKEOVER_TIMEOUT, true), "the one between them may go on");
+    assert!(takes("c", 1, TAKEOVER_TIMEOUT + RESTART_PATIENCE, true));
 }
--- a/crates/joblog/tests/epochs.rs
+++ b/crates/joblog/tests/epochs.rs
@@ -1,14 +1,15 @@
 //! Acknowledged records survive any order of crashes, lost disks, torn tails, freezes and lost
 //! answers, with several boxes that try to serve at once.
 //!
-//! The boxes run the real [`EpochFormer`], one step at a time in random order; a box that is not
+//! The boxes run the real [`EpochTakeover`], one step at a time in random order; a box that is not
 //! picked for a while is frozen. Copies and the store are small models with the faults.
 
 use std::collections::{HashMap, HashSet};
 
 use ids::{BoxId, ShardIndex};
 use joblog::{
-    CopyHolder, EpochFormer, EpochId, FormStep, PlanWrite, ReadPlan, ShardPlan, choose_partners,
+    EpochId, EpochTakeover, PlanWriteOutcome, ReadPlan, ShardPlan, StorageBox, TakeoverStep,
+    choose_partners,
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -27,13 +28,13 @@
 }
 
 impl Store {
-    fn write(&mut self, base: Option<u64>, plan: &ShardPlan) -> PlanWrite {
+    fn write(&mut self, base: Option<u64>, plan: &ShardPlan) -> PlanWriteOutcome {
         if self.plan.as_ref().map(|read| read.revision) != base {
-            return PlanWrite::Conflict;
+            return PlanWriteOutcome::Conflict;
         }
         self.revision += 1;
         self.plan = Some(ReadPlan { revision: self.revision, plan: plan.clone() });
-        PlanWrite::Done(self.revision)
+        PlanWriteOutcome::Done(self.revision)
     }
 }
 
@@ -43,7 +44,7 @@
     disk: HashMap<EpochId, Vec<u64>>,
     /// Copies that take appends; lost with the process.
     open: HashSet<EpochId>,
-    former: Option<EpochFormer>,
+    former: Option<EpochTakeover>,
     book: Vec<u64>,
     book_epoch: Option<EpochId>,
     serving: Option<ShardPlan>,
@@ -65,8 +66,8 @@
     served: u64,
 }
 
-fn holder(index: usize) -> CopyHolder {
-    CopyHolder {
+fn holder(index: usize) -> StorageBox {
+    StorageBox {
         box_id: format!("box-{index}").parse().expect("an id"),
         address: format!("10.0.0.{index}:1"),
         domain: format!("domain-{}", index % 3).parse().expect("an id"),
@@ -107,28 +108,28 @@
         let number = self.rng.random();
         let me = &mut self.boxes[at];
         if me.former.is_none() && me.serving.is_none() {
-            me.former = Some(EpochFormer::new(holder(at), number, me.book_epoch.clone()));
+            me.former = Some(EpochTakeover::new(holder(at), number, me.book_epoch.clone()));
         }
     }
 
     fn step(&mut self, at: usize) {
         let Some(mut former) = self.boxes[at].former.take() else { return };
-        if former.wants_partners() {
-            let alive: Vec<CopyHolder> =
+        if former.needs_partners() {
+            let alive: Vec<StorageBox> =
                 (0..BOXES).filter(|other| *other != at).map(holder).collect();
             let domain = holder(at).domain;
             former.partners(choose_partners(ShardIndex::new(0), &domain, &alive, COPIES - 1));
         }
         match former.step() {
-            FormStep::ReadPlan | FormStep::CheckPlan => {
+            TakeoverStep::ReadPlan | TakeoverStep::CheckPlan => {
                 let lost = self.rng.random_ratio(1, 10);
                 former.plan_read(if lost { Err(()) } else { Ok(self.store.plan.clone()) });
             }
-            FormStep::BeginEmpty => {
+            TakeoverStep::BeginEmpty => {
                 self.boxes[at].book.clear();
-                former.base_read(true);
+                former.base_loaded(true);
             }
-            FormStep::CloseAndRead(epoch) => {
+            TakeoverStep::CloseAndRead(epoch) => {
                 let me = &mut self.boxes[at];
                 me.open.remove(&epoch);
                 let read = me.disk.get(&epoch).cloned();
@@ -136,18 +137,18 @@
                     me.book.clone_from(records);
                     me.book_epoch = Some(epoch);
                 }
-                former.base_read(read.is_some());
+                former.base_loaded(read.is_some());
             }
-            FormStep::Copy { epoch, partners } => {
+            TakeoverStep::Copy { epoch, partners } => {
                 let all = self.copy(at, &epoch, &partners);
                 former.copied(all);
             }
-            FormStep::WritePlan { base, plan } => {
+            TakeoverStep::WritePlan { base, plan } => {
                 let end = self.write_plan(base, &plan);
                 former.written(end);
             }
-            FormStep::Serve { plan, .. } => return self.serve(at, plan),
-            FormStep::Fail(_) => {
+            TakeoverStep::Serve { plan, .. } => return self.serve(at, plan),
+            TakeoverStep::Fail(_) => {
                 self.boxes[at].book_epoch = None;
                 return;
             }
@@ -155,7 +156,7 @@
         self.boxes[at].former = Some(former);
     }
 
-    fn copy(&mut self, at: usize, epoch: &EpochId, partners: &[CopyHolder]) -> bool {
+    fn copy(&mut self, at: usize, epoch: &EpochId, partners: &[StorageBox]) -> bool {
         let book = self.boxes[at].book.clone();
         self.boxes[at].disk.insert(epoch.clone(), book.clone());
         for partner in partners {
@@ -169,16 +170,16 @@
         true
     }
 
-    fn write_plan(&mut self, base: Option<u64>, plan: &ShardPlan) -> PlanWrite {
+    fn write_plan(&mut self, base: Option<u64>, plan: &ShardPlan) -> PlanWriteOutcome {
         match self.rng.random_range(0..10) {
-            0 => PlanWrite::NoAnswer,
+            0 => PlanWriteOutcome::NoAnswer,
             1 => {
                 self.store.write(base, plan);
-                PlanWrite::NoAnswer
+                PlanWriteOutcome::NoAnswer
             }
             2 => {
                 self.store.late.push((base, plan.clone()));
-                PlanWrite::NoAnswer
+                PlanWriteOutcome::NoAnswer
             }
             _ => self.store.write(base, plan),
         }
--- a/crates/joblog/tests/layout.rs
+++ b/crates/joblog/tests/layout.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 
 use ids::ShardIndex;
-use joblog::{CopyHolder, ShardLayout, first_ranked, shard_of_job};
+use joblog::{ShardLayout, StorageBox, rank_initial_servers, shard_of_job};
 
 fn shards(boxes: usize, losses: usize) -> u32 {
     ShardLayout::for_boxes(boxes, losses + 1).shards
@@ -45,8 +45,8 @@
     assert_eq!(shard_of_job("press.example", "layout", 1).get(), 0);
 }
 
-fn boxes(count: usize, domains: usize) -> Vec<CopyHolder> {
-    let boxes = (0..count).map(|number| CopyHolder {
+fn boxes(count: usize, domains: usize) -> Vec<StorageBox> {
+    let boxes = (0..count).map(|number| StorageBox {
         box_id: format!("box-{number}").parse().expect("an id"),
         address: "127.0.0.1:1".to_owned(),
         domain: format!("domain-{}", number % domains).parse().expect("a domain"),
@@ -59,8 +59,8 @@
 #[test]
 fn servers_begin_on_boxes_of_their_own_in_different_domains() {
     let boxes = boxes(45, 6);
-    let firsts: Vec<&CopyHolder> =
-        (0..5).map(|shard| first_ranked(ShardIndex::new(shard), &boxes)[0]).collect();
+    let firsts: Vec<&StorageBox> =
+        (0..5).map(|shard| rank_initial_servers(ShardIndex::new(shard), &boxes)[0]).collect();
     let names: HashSet<_> = firsts.iter().map(|copy| &copy.box_id).collect();
     let domains: HashSet<_> = firsts.iter().map(|copy| &copy.domain).collect();
     assert_eq!((names.len(), domains.len()), (5, 5));
@@ -72,7 +72,7 @@
     for (count, domains) in [(1, 1), (3, 2), (13, 4)] {
         let boxes = boxes(count, domains);
         for shard in 0..6 {
-            let ranked = first_ranked(ShardIndex::new(shard), &boxes);
+            let ranked = rank_initial_servers(ShardIndex::new(shard), &boxes);
             let names: HashSet<_> = ranked.iter().map(|copy| &copy.box_id).collect();
             assert_eq!((ranked.len(), names.len()), (count, count));
         }
--- a/crates/joblog/tests/partners.rs
+++ b/crates/joblog/tests/partners.rs
@@ -4,16 +4,16 @@
 
 use arbtest::arbtest;
 use ids::{BoxId, DomainId, ShardIndex};
-use joblog::{CopyHolder, choose_partners, choose_sound_partners};
+use joblog::{StorageBox, choose_healthy_partners, choose_partners};
 
 fn domain(number: usize) -> DomainId {
     format!("domain-{number}").parse().expect("an id")
 }
 
 /// So many boxes in each domain.
-fn boxes(of: &[usize]) -> Vec<CopyHolder> {
+fn boxes(of: &[usize]) -> Vec<StorageBox> {
     let boxes = of.iter().enumerate().flat_map(|(at, count)| {
-        (0..*count).map(move |number| CopyHolder {
+        (0..*count).map(move |number| StorageBox {
             box_id: format!("box-{at}-{number}").parse().expect("an id"),
             address: "127.0.0.1:1".to_owned(),
             domain: domain(at),
@@ -22,7 +22,7 @@
     boxes.collect()
 }
 
-fn domains(copies: &[CopyHolder]) -> Vec<DomainId> {
+fn domains(copies: &[StorageBox]) -> Vec<DomainId> {
     copies.iter().map(|copy| copy.domain.clone()).collect()
 }
 
@@ -65,7 +65,7 @@
             .map(|copy| copy.box_id.clone())
             .collect();
         let shard = ShardIndex::new(u.int_in_range(0..=9)?);
-        let Some(partners) = choose_sound_partners(shard, &domain(0), &alive, &failing, count)
+        let Some(partners) = choose_healthy_partners(shard, &domain(0), &alive, &failing, count)
         else {
             assert!(alive.len() < count);
             return Ok(());
--- a/crates/joblog/tests/standby.rs
+++ b/crates/joblog/tests/standby.rs
@@ -1,10 +1,10 @@
 //! Boxes that beat with each other.
 
 use ids::BoxId;
-use joblog::{CopyHolder, boxes_at_work};
+use joblog::{StorageBox, active_boxes};
 
-fn boxes(count: usize, domains: usize) -> Vec<CopyHolder> {
-    let copy = |at: usize| CopyHolder {
+fn boxes(count: usize, domains: usize) -> Vec<StorageBox> {
+    let copy = |at: usize| StorageBox {
         box_id: format!("keep-{at}").parse().expect("an id"),
         address: String::new(),
         domain: format!("domain-{}", at % domains).parse().expect("an id"),
@@ -12,8 +12,8 @@
     (0..count).map(copy).collect()
 }
 
-fn at_work(boxes: &[CopyHolder]) -> Vec<BoxId> {
-    boxes_at_work(boxes, |_| false).into_iter().map(|copy| copy.box_id.clone()).collect()
+fn at_work(boxes: &[StorageBox]) -> Vec<BoxId> {
+    active_boxes(boxes, |_| false).into_iter().map(|copy| copy.box_id.clone()).collect()
 }
 
 /// Each box calls each other one, so beats would be ninety thousand a second among 150 boxes.
@@ -27,7 +27,7 @@
 fn every_domain_has_some_and_every_box_with_a_duty_is_one() {
     let boxes = boxes(60, 6);
     let named = boxes[17].box_id.clone();
-    let chosen = boxes_at_work(&boxes, |copy| copy.box_id == named);
+    let chosen = active_boxes(&boxes, |copy| copy.box_id == named);
     assert!(chosen.iter().any(|copy| copy.box_id == named));
     for domain in 0..6 {
         let domain = format!("domain-{domain}");
@@ -39,7 +39,7 @@
 #[test]
 fn all_boxes_agree_who_is_at_work() {
     let boxes = boxes(40, 3);
-    let reversed: Vec<CopyHolder> = boxes.iter().rev().cloned().collect();
+    let reversed: Vec<StorageBox> = boxes.iter().rev().cloned().collect();
     let sorted = |mut ids: Vec<BoxId>| {
         ids.sort();
         ids
--- a/crates/jobs/src/book.rs
+++ b/crates/jobs/src/book.rs
@@ -4,17 +4,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ids::{JobId, Moment, RecordPlace};
+use ids::{JobId, Moment, RecordLocation};
 use wire::peer::log_record::Body;
-use wire::peer::{EndedJob, ItemProgress, Job, JobResult, ListedResult, LogRecord};
+use wire::peer::{ItemProgress, Job, JobRef, JobResult, ListedResult, LogRecord};
 
 use crate::item::{ItemPhase, ItemState};
 use crate::order::TextPace;
 use crate::state::{JobState, ListedItem, record, request_bytes};
 use crate::trace::StepTrace;
 use crate::{
-    ItemRef, LossReason, RewardEnd, RunEnd, RunOutcome, RunSpec, StepAccount, pack_text, run_order,
-    unpack_text,
+    ItemRef, LossReason, RewardOutcome, RunOutcome, RunResult, RunSpec, StepTimings, pack_text,
+    run_order, unpack_text,
 };
 
 /// Pause before an item that failed is started again, so that a target in trouble, or the list
@@ -32,7 +32,7 @@
 
 /// The jobs of one shard.
 #[derive(Debug)]
-pub struct JobBook {
+pub struct JobTable {
     /// How long a job can be read after it was taken, at least.
     retention: Duration,
     pub(crate) jobs: HashMap<JobId, JobState>,
@@ -48,7 +48,7 @@
     pub(crate) pace: TextPace,
 }
 
-impl JobBook {
+impl JobTable {
     /// A book without jobs; ended ones are held for `retention` after they were taken.
     pub fn new(retention: Duration) -> Self {
         Self {
@@ -71,7 +71,7 @@
 
     /// As [`Self::apply`], for a record that lies at `place` in this box's copy: texts of jobs that
     /// ended a while ago are read there.
-    pub fn apply_at(&mut self, now: Moment, record: LogRecord, place: Option<RecordPlace>) {
+    pub fn apply_at(&mut self, now: Moment, record: LogRecord, place: Option<RecordLocation>) {
         match record.body {
             Some(Body::Accepted(job)) => self.apply_accepted(now, job),
             Some(Body::Listed(listed)) => self.apply_listed(now, listed, place),
@@ -151,7 +151,7 @@
         (!state.versions.is_empty() && ItemState::fits(&state.versions, job)).then_some(state)
     }
 
-    fn apply_listed(&mut self, now: Moment, listed: ListedResult, place: Option<RecordPlace>) {
+    fn apply_listed(&mut self, now: Moment, listed: ListedResult, place: Option<RecordLocation>) {
         let Some(state) = self.state_mut(&listed.job) else { return };
         let Some(result) = listed.result else { return };
         if listed.position as usize != state.listed.len() {
@@ -185,7 +185,7 @@
         // A text that cannot be unpacked is made again.
         let Ok(text) = unpack_text(&progress.packed_text) else { return };
         item.add_text(&text, progress.events, &progress.versions);
-        item.whole |= progress.whole;
+        item.whole |= progress.complete;
     }
 
     fn apply_ended(&mut self, job: &str) {
@@ -224,8 +224,8 @@
 
     /// Forgets what was on the way to a log that has ended: items whose record was not applied
     /// are listed again, or go on with the text they have. No position is given until
-    /// [`Self::open_log`]: its record would reach no log, and the position stay empty for ever.
-    pub fn close_log(&mut self) {
+    /// [`Self::resume_appends`]: its record would reach no log, and the position stay empty for ever.
+    pub fn suspend_appends(&mut self) {
         self.closed = true;
         for state in self.jobs.values_mut() {
             state.positions = u32::try_from(state.listed.len()).unwrap_or(u32::MAX);
@@ -251,7 +251,7 @@
     }
 
     /// From here on a log takes records.
-    pub const fn open_log(&mut self) {
+    pub const fn resume_appends(&mut self) {
         self.closed = false;
     }
 
@@ -265,13 +265,13 @@
     }
 
     /// The score of a text that was whole before, from an earlier job.
-    pub fn known_score(&self, item: &ItemRef) -> Option<String> {
+    pub fn cached_score(&self, item: &ItemRef) -> Option<String> {
         let state = self.jobs.get(&item.job)?;
         state.items.get(item.index as usize)?.score.clone()
     }
 
     /// Takes the end of a run. `true` when the text is whole and its reward call is due.
-    pub fn run_ended(&mut self, now: Moment, spec: &RunSpec, run: &RunEnd) -> bool {
+    pub fn run_ended(&mut self, now: Moment, spec: &RunSpec, run: &RunResult) -> bool {
         let item = &spec.item;
         let Some(state) = self.jobs.get_mut(&item.job) else { return false };
         let job = Arc::clone(&state.job);
@@ -316,7 +316,7 @@
     }
 
     /// Takes the end of a reward call; the record to append when the item is done with.
-    pub fn scored(&mut self, now: Moment, item: &ItemRef, end: RewardEnd) -> Option<LogRecord> {
+    pub fn scored(&mut self, now: Moment, item: &ItemRef, end: RewardOutcome) -> Option<LogRecord> {
         let state = self.jobs.get_mut(&item.job)?;
         let entry = state.items.get_mut(item.index as usize)?;
         if entry.phase != ItemPhase::Running || state.ending {
@@ -324,7 +324,7 @@
         }
         state.trace.scored(now, item.index);
         match end {
-            RewardEnd::Scored(score) => {
+            RewardOutcome::Scored(score) => {
                 entry.score = Some(score);
                 if self.closed {
                     self.again(now, item, Duration::ZERO);
@@ -332,15 +332,15 @@
                 }
                 return self.list(item, true);
             }
-            RewardEnd::Failed { attempts } => {
+            RewardOutcome::Failed { attempts } => {
                 entry.reward_failures += 1;
                 entry.reward_attempts = attempts;
             }
-            RewardEnd::Condemned => {
+            RewardOutcome::Quarantined => {
                 self.again(now, item, CONDEMNED_PAUSE);
                 return None;
             }
-            RewardEnd::Missed => {}
+            RewardOutcome::Missed => {}
         }
         self.again(now, item, RETRY_PAUSE);
         None
@@ -417,7 +417,7 @@
         }
         state.ending = true;
         state.waiting.clear();
-        Some(record(Body::Ended(EndedJob { job: id.to_string() })))
+        Some(record(Body::Ended(JobRef { job: id.to_string() })))
     }
 
     /// Notes that results of a job before position `until` were told.
@@ -428,7 +428,7 @@
     }
 
     /// What became of a job that ends now; `None` when it is not held or has ended before.
-    pub fn account(&mut self, now: Moment, id: &JobId) -> Option<StepAccount> {
+    pub fn account(&mut self, now: Moment, id: &JobId) -> Option<StepTimings> {
         let state = self.jobs.get_mut(id).filter(|state| !state.ended)?;
         Some(state.trace.end(now, state.taken_at, &state.job))
     }
@@ -444,13 +444,13 @@
         });
         let dropped = old.map(|(id, state)| {
             state.dropping = true;
-            record(Body::Dropped(EndedJob { job: id.to_string() }))
+            record(Body::Dropped(JobRef { job: id.to_string() }))
         });
         dropped.collect()
     }
 
     /// Takes the places of results in a new copy, by job and position.
-    pub fn relocate(&mut self, places: &[(JobId, u32, RecordPlace)]) {
+    pub fn relocate(&mut self, places: &[(JobId, u32, RecordLocation)]) {
         for (id, position, place) in places {
             let listed =
                 self.jobs.get_mut(id).and_then(|job| job.listed.get_mut(*position as usize));
--- a/crates/jobs/src/item.rs
+++ b/crates/jobs/src/item.rs
@@ -38,7 +38,7 @@
 impl RunSpec {
     /// The record for the events that a run which was cut or moved has not given to the log: the
     /// next run begins after them, and its own records must follow what is there.
-    pub fn rest(&self, end: &RunEnd) -> Option<LogRecord> {
+    pub fn rest(&self, end: &RunResult) -> Option<LogRecord> {
         let goes_on = matches!(end.outcome, RunOutcome::Cut | RunOutcome::Moved);
         let more = end.events.len() > end.logged && !self.job.single_version;
         (goes_on && more).then(|| self.progress(&end.events, end.logged))
@@ -56,7 +56,7 @@
             events: state.events,
             packed_text: pack_text(&state.text),
             versions: state.versions,
-            whole: false,
+            complete: false,
         };
         LogRecord { body: Some(Body::Progress(progress)) }
     }
@@ -88,7 +88,7 @@
 
 /// What a run brought.
 #[derive(Debug, Clone)]
-pub struct RunEnd {
+pub struct RunResult {
     /// How it ended.
     pub outcome: RunOutcome,
     /// The whole events that came, in order.
@@ -108,7 +108,7 @@
 
 /// How a reward call ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum RewardEnd {
+pub enum RewardOutcome {
     /// The signature of its success.
     Scored(String),
     /// An error of the target itself; the item may be given up after `attempts` of them.
@@ -119,7 +119,7 @@
     /// It got no answer, or no target took it.
     Missed,
     /// It ends the targets that run it, and was not made.
-    Condemned,
+    Quarantined,
 }
 
 /// Why an item is given up.
--- a/crates/jobs/src/reads.rs
+++ b/crates/jobs/src/reads.rs
@@ -2,11 +2,11 @@
 
 use std::collections::HashMap;
 
-use ids::{JobId, RecordPlace};
+use ids::{JobId, RecordLocation};
 use wire::peer::JobPage;
 
 use crate::item::ItemPhase;
-use crate::{ItemRef, JobBook};
+use crate::{ItemRef, JobTable};
 
 /// How much a shard holds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -34,14 +34,14 @@
 
 /// Results of a job.
 #[derive(Debug, Clone, PartialEq)]
-pub struct BookPage {
+pub struct ResultsPage {
     /// The page; some results lack their text.
     pub page: JobPage,
     /// Indices of these among the page's results, and where their records lie.
-    pub on_disk: Vec<(usize, RecordPlace)>,
+    pub on_disk: Vec<(usize, RecordLocation)>,
 }
 
-impl JobBook {
+impl JobTable {
     /// Which step a job is; all empty when it is not held.
     pub fn step(&self, id: &JobId) -> StepNames {
         let Some(state) = self.jobs.get(id) else { return StepNames::default() };
@@ -61,14 +61,14 @@
     /// Whether a job is held under this id that is another customer's. A job of the time before there were
     /// customers is everybody's, and so are all of them while the configuration knows none: `customer` is empty
     /// then.
-    pub fn is_others(&self, id: &JobId, customer: &str) -> bool {
+    pub fn belongs_to_other_customer(&self, id: &JobId, customer: &str) -> bool {
         let owner = self.jobs.get(id).map_or("", |state| state.job.customer.as_str());
         !owner.is_empty() && !customer.is_empty() && owner != customer
     }
 
     /// Whether a job is held of which `customer` may know.
     pub fn may_ask(&self, id: &JobId, customer: &str) -> bool {
-        self.knows(id) && !self.is_others(id, customer)
+        self.knows(id) && !self.belongs_to_other_customer(id, customer)
     }
 
     /// Bytes of jobs and results.
@@ -101,9 +101,9 @@
         counts
     }
 
-    /// Results from position `from`: at least one if there is one, `most_bytes` of text at most.
+    /// Results from position `from`: at least one if there is one, `max_bytes` of text at most.
     /// `None` when the job is not held.
-    pub fn page(&self, id: &JobId, from: u32, most_bytes: usize) -> Option<BookPage> {
+    pub fn page(&self, id: &JobId, from: u32, max_bytes: usize) -> Option<ResultsPage> {
         let state = self.jobs.get(id)?;
         let total = u32::try_from(state.job.items.len()).unwrap_or(u32::MAX);
         let mut results = Vec::new();
@@ -111,13 +111,13 @@
         let mut bytes = 0;
         for listed in state.listed.iter().skip(from as usize) {
             bytes += listed.result.text_bytes as usize;
-            if !results.is_empty() && bytes > most_bytes {
+            if !results.is_empty() && bytes > max_bytes {
                 break;
             }
             on_disk.extend(listed.on_disk().map(|place| (results.len(), place)));
             results.push(listed.result.clone());
         }
-        Some(BookPage { page: JobPage { total, results }, on_disk })
+        Some(ResultsPage { page: JobPage { total, results }, on_disk })
     }
 
     /// The body of an item, until its job has ended.
--- a/crates/jobs/src/reward_plan.rs
+++ b/crates/jobs/src/reward_plan.rs
@@ -19,12 +19,12 @@
 
 /// When one reward call is made, and until when.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RewardPlan {
+pub struct RewardHedgePlan {
     patience: Duration,
     limit: Duration,
 }
 
-impl RewardPlan {
+impl RewardHedgePlan {
     /// The plan for a route with this goal and this longest time.
     pub fn new(goal: Option<Duration>, timeout: Option<Duration>) -> Self {
         let patience = goal.unwrap_or(MOST_PATIENCE).clamp(LEAST_PATIENCE, MOST_PATIENCE);
--- a/crates/jobs/src/snapshot.rs
+++ b/crates/jobs/src/snapshot.rs
@@ -1,10 +1,10 @@
 //! A book as records, in pieces: it may be much larger than what a box can hold twice.
 
-use ids::{JobId, RecordPlace};
+use ids::{JobId, RecordLocation};
 use prost::Message;
 use wire::peer::LogRecord;
 
-use crate::JobBook;
+use crate::JobTable;
 use crate::state::ListedItem;
 
 /// How far a snapshot has come.
@@ -21,10 +21,10 @@
     /// In order; some results lack their text.
     pub records: Vec<LogRecord>,
     /// Indices of these, and where their whole records lie in the copy that the book is of.
-    pub on_disk: Vec<(usize, RecordPlace)>,
+    pub on_disk: Vec<(usize, RecordLocation)>,
 }
 
-impl JobBook {
+impl JobTable {
     /// Begins a snapshot: records that give the same book when they are replayed, in order.
     pub fn snapshot_cursor(&self) -> SnapshotCursor {
         let mut jobs: Vec<JobId> = self.jobs.keys().cloned().collect();
@@ -32,12 +32,12 @@
         SnapshotCursor { jobs, job: 0, record: 0 }
     }
 
-    /// The next records of a snapshot, about `most_bytes` of them; none after the last. Between
+    /// The next records of a snapshot, about `max_bytes` of them; none after the last. Between
     /// two pieces no record may be applied.
-    pub fn snapshot_piece(&self, cursor: &mut SnapshotCursor, most_bytes: usize) -> SnapshotPiece {
+    pub fn snapshot_piece(&self, cursor: &mut SnapshotCursor, max_bytes: usize) -> SnapshotPiece {
         let mut piece = SnapshotPiece::default();
         let mut bytes = 0;
-        while bytes < most_bytes
+        while bytes < max_bytes
             && let Some(id) = cursor.jobs.get(cursor.job)
         {
             let from = piece.records.len();
--- a/crates/jobs/src/state.rs
+++ b/crates/jobs/src/state.rs
@@ -3,11 +3,11 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use ids::{JobId, Moment, RecordPlace};
+use ids::{JobId, Moment, RecordLocation};
 use prost::Message;
 use wire::peer::log_record::Body;
 use wire::peer::{
-    EndedJob, ItemProgress, Job, JobItem, JobResult, ListedResult, LogRecord, RewardCall,
+    ItemProgress, Job, JobItem, JobRef, JobResult, ListedResult, LogRecord, RewardCall,
 };
 
 use crate::item::{ItemPhase, ItemState};
@@ -20,12 +20,12 @@
     /// The result; without its text once that is read from the log alone.
     pub result: JobResult,
     /// Where its record lies in this box's copy, if that is known.
-    pub place: Option<RecordPlace>,
+    pub place: Option<RecordLocation>,
 }
 
 impl ListedItem {
     /// Where the text has to be read, if it is not held.
-    pub fn on_disk(&self) -> Option<RecordPlace> {
+    pub fn on_disk(&self) -> Option<RecordLocation> {
         self.place.filter(|_| self.result.packed_text.is_empty() && self.result.text_bytes > 0)
     }
 }
@@ -97,7 +97,7 @@
     pub fn last_records(&self, id: &JobId) -> Vec<LogRecord> {
         let job = id.to_string();
         if self.ended {
-            return vec![record(Body::Ended(EndedJob { job }))];
+            return vec![record(Body::Ended(JobRef { job }))];
         }
         unlisted_text(&job, &self.items).collect()
     }
@@ -120,7 +120,7 @@
             events: item.events.max(1),
             packed_text: pack_text(&item.text),
             versions: item.versions.clone(),
-            whole: item.whole,
+            complete: item.whole,
         }))
     })
 }
--- a/crates/jobs/src/trace.rs
+++ b/crates/jobs/src/trace.rs
@@ -13,7 +13,7 @@
 
 /// Why an item that waits cannot start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum StartHold {
+pub enum BlockReason {
     /// No route leads to a service.
     NoRoute,
     /// No engine holds weights that are new enough.
@@ -21,7 +21,7 @@
     /// Those that hold them load.
     Loading,
     /// Those that hold them rest after a failure or a refusal.
-    Resting,
+    BackedOff,
     /// Those that hold them have no place.
     Full,
     /// Those that hold them are cold, and have got what they bear for now.
@@ -31,27 +31,27 @@
     /// This box holds as many connections as it may.
     NoConnections,
     /// The item ends the targets that run it. It holds up no other.
-    Condemned,
+    Quarantined,
 }
 
-impl StartHold {
+impl BlockReason {
     /// All reasons, the order in which they are told.
     pub const ALL: [Self; 9] = [
         Self::NoRoute,
         Self::OldWeights,
         Self::Loading,
-        Self::Resting,
+        Self::BackedOff,
         Self::Full,
         Self::Cold,
         Self::Evacuated,
         Self::NoConnections,
-        Self::Condemned,
+        Self::Quarantined,
     ];
 }
 
 /// What an item spent its time on, while this box served its shard.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct ItemAccount {
+pub struct ItemTimings {
     /// Waiting for a place at an engine.
     pub waited: Duration,
     /// At engines.
@@ -68,7 +68,7 @@
 
 /// What became of a job until it ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct StepAccount {
+pub struct StepTimings {
     /// From the moment the job was taken here to its first run.
     pub first_run: Option<Duration>,
     /// To the moment when the last wanted item was listed.
@@ -80,9 +80,9 @@
     /// Items that came again from an earlier job.
     pub carried: u32,
     /// The item that came last of those wanted.
-    pub last: Option<(String, ItemAccount)>,
+    pub last: Option<(String, ItemTimings)>,
     /// How long some item could not start, by the reason.
-    pub holds: Vec<(StartHold, Duration)>,
+    pub holds: Vec<(BlockReason, Duration)>,
 }
 
 /// The account of a job while it goes on.
@@ -93,15 +93,15 @@
     read_at: Option<Moment>,
     /// Position of the last wanted item, and its index.
     last: Option<(u32, u32)>,
-    holds: HashMap<StartHold, Duration>,
-    held: Option<(StartHold, Moment)>,
+    holds: HashMap<BlockReason, Duration>,
+    held: Option<(BlockReason, Moment)>,
     /// Items not listed yet, by group.
     open: HashMap<String, u32>,
     carried: HashSet<String>,
     carried_items: u32,
     wanted_groups: u32,
     whole_groups: u32,
-    accounts: Vec<ItemAccount>,
+    accounts: Vec<ItemTimings>,
 }
 
 impl StepTrace {
@@ -129,11 +129,11 @@
             carried_items,
             wanted_groups: job.wanted_groups,
             whole_groups: 0,
-            accounts: vec![ItemAccount { since: now, ..ItemAccount::default() }; job.items.len()],
+            accounts: vec![ItemTimings { since: now, ..ItemTimings::default() }; job.items.len()],
         }
     }
 
-    fn account(&mut self, index: u32) -> Option<&mut ItemAccount> {
+    fn account(&mut self, index: u32) -> Option<&mut ItemTimings> {
         self.accounts.get_mut(index as usize)
     }
 
@@ -162,7 +162,7 @@
     }
 
     /// Some item cannot start for a reason, or none is held up any more.
-    pub fn hold(&mut self, now: Moment, hold: Option<StartHold>) {
+    pub fn hold(&mut self, now: Moment, hold: Option<BlockReason>) {
         if let Some((last, since)) = self.held.take() {
             *self.holds.entry(last).or_default() += now.since(since);
         }
@@ -193,15 +193,15 @@
     }
 
     /// The account at the job's end.
-    pub fn end(&mut self, now: Moment, taken_at: Moment, job: &Job) -> StepAccount {
+    pub fn end(&mut self, now: Moment, taken_at: Moment, job: &Job) -> StepTimings {
         self.hold(now, None);
         let after = |at: Option<Moment>| at.map(|at| at.since(taken_at));
         let last = self.last.and_then(|(_, index)| {
             let item = job.items.get(index as usize)?;
             Some((item.id.clone(), self.accounts.get(index as usize)?.clone()))
         });
-        let holds = StartHold::ALL.into_iter();
-        StepAccount {
+        let holds = BlockReason::ALL.into_iter();
+        StepTimings {
             first_run: after(self.first_run),
             wanted: after(self.wanted_at),
             read: after(self.read_at),
--- a/crates/jobs/src/turns.rs
+++ b/crates/jobs/src/turns.rs
@@ -11,7 +11,7 @@
 use crate::book::CONDEMNED_PAUSE;
 use crate::item::ItemPhase;
 use crate::order::LatestStart;
-use crate::{ItemRef, JobBook, RunSpec, StartHold};
+use crate::{BlockReason, ItemRef, JobTable, RunSpec};
 
 /// The next item of one job.
 struct JobTurn {
@@ -32,7 +32,7 @@
     Some(turns.remove(at))
 }
 
-impl JobBook {
+impl JobTable {
     /// Items that may start now, best first, each with the model and the oldest version that
     /// its target must hold. `start` says which target it has found for the item, none where only its
     /// reward call is missing; when it finds none for a run, the runs of that job wait too.
@@ -42,7 +42,7 @@
     pub fn start_ready(
         &mut self,
         now: Moment,
-        mut start: impl FnMut(RunSpec) -> Result<Option<InstanceId>, StartHold>,
+        mut start: impl FnMut(RunSpec) -> Result<Option<InstanceId>, BlockReason>,
     ) {
         let mut turns: Vec<JobTurn> = Vec::new();
         for id in self.open.clone() {
@@ -65,8 +65,8 @@
             };
             let target = match start(spec) {
                 Ok(target) => target,
-                Err(StartHold::Condemned) => {
-                    state.trace.hold(now, Some(StartHold::Condemned));
+                Err(BlockReason::Quarantined) => {
+                    state.trace.hold(now, Some(BlockReason::Quarantined));
                     state.items[index as usize].not_before = now + CONDEMNED_PAUSE;
                     turns.extend(self.turn(now, turn.job, turn.at + 1, turn.held));
                     continue;
--- a/crates/jobs/tests/book.rs
+++ b/crates/jobs/tests/book.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::{accepted, at, book, events, job, run, start_all, text_of};
-use ids::{JobId, RecordPlace};
+use ids::{JobId, RecordLocation};
 use jobs::{
-    JobBook, LossReason, RewardEnd, RunOutcome, StartHold, pack_text, run_order, unpack_text,
+    BlockReason, JobTable, LossReason, RewardOutcome, RunOutcome, pack_text, run_order, unpack_text,
 };
 use wire::peer::log_record::Body;
 use wire::peer::{ItemProgress, LogRecord};
@@ -14,12 +14,12 @@
     text.parse().expect("an id")
 }
 
-fn scored() -> RewardEnd {
-    RewardEnd::Scored("signature".to_owned())
+fn scored() -> RewardOutcome {
+    RewardOutcome::Scored("signature".to_owned())
 }
 
 /// Runs an item to its end and gives the record that lists it.
-fn finish(book: &mut JobBook, spec: &jobs::RunSpec, events_of: Vec<jobs::RunEvent>) -> LogRecord {
+fn finish(book: &mut JobTable, spec: &jobs::RunSpec, events_of: Vec<jobs::RunEvent>) -> LogRecord {
     assert!(book.run_ended(at(10), spec, &run(RunOutcome::Whole, events_of)));
     book.scored(at(11), &spec.item, scored()).expect("it is listed")
 }
@@ -184,7 +184,7 @@
     book.apply(at(0), accepted(job("j", 1)));
     let spec = start_all(&mut book, at(1)).remove(0);
     book.run_ended(at(2), &spec, &run(RunOutcome::Whole, events(1, 1, 3)));
-    let failed = RewardEnd::Failed { attempts: 4 };
+    let failed = RewardOutcome::Failed { attempts: 4 };
     for attempt in 1..=4_u64 {
         assert!(book.give_up(at(attempt * 500)).is_empty());
         assert_eq!(book.scored(at(attempt * 500), &spec.item, failed.clone()), None);
@@ -211,8 +211,8 @@
     book.apply(at(0), accepted(job("j", 1)));
     let spec = start_all(&mut book, at(1)).remove(0);
     let lost = finish(&mut book, &spec, events(1, 2, 3));
-    book.close_log();
-    book.open_log();
+    book.suspend_appends();
+    book.resume_appends();
     let again = start_all(&mut book, at(2)).remove(0);
     assert!(again.whole, "its text is held, only the listing was lost");
     let record = book.scored(at(3), &again.item, scored()).expect("listed again");
@@ -224,17 +224,17 @@
     let mut book = book();
     book.apply(at(0), accepted(job("j", 1)));
     let specs = start_all(&mut book, at(1));
-    book.close_log();
+    book.suspend_appends();
     // A record made now would go to no log, and its position would stay empty for ever.
     assert!(book.run_ended(at(10), &specs[0], &run(RunOutcome::Whole, events(1, 2, 3))));
     assert_eq!(book.scored(at(11), &specs[0].item, scored()), None);
-    book.open_log();
+    book.resume_appends();
     let record = finish(&mut book, &specs[1], events(1, 2, 3));
     book.apply(at(12), record);
     assert_eq!(text_of(&book, "j").len(), 1);
     let again = start_all(&mut book, at(13)).remove(0);
     assert!(again.whole && again.item == specs[0].item);
-    assert_eq!(book.known_score(&again.item).as_deref(), Some("signature"));
+    assert_eq!(book.cached_score(&again.item).as_deref(), Some("signature"));
     let record = book.scored(at(14), &again.item, scored()).expect("listed again");
     book.apply(at(15), record);
     assert_eq!(text_of(&book, "j").len(), 2);
@@ -245,7 +245,7 @@
     let mut book = book();
     book.apply(at(0), accepted(job("j", 1)));
     assert_eq!(start_all(&mut book, at(1)).len(), 2);
-    book.close_log();
+    book.suspend_appends();
     assert!(start_all(&mut book, at(2)).is_empty());
 }
 
@@ -311,7 +311,7 @@
         events: 2,
         packed_text: pack_text(b"x\ny"),
         versions: vec![3],
-        whole: false,
+        complete: false,
     };
     book.apply(at(1), LogRecord { body: Some(Body::Progress(hole)) });
     assert_eq!(start_all(&mut book, at(2)).remove(0).events, 0);
@@ -336,7 +336,7 @@
 }
 
 /// Takes a whole text of one hinted token, made in `millis`.
-fn learn_pace(book: &mut JobBook, millis: u64) {
+fn learn_pace(book: &mut JobTable, millis: u64) {
     let mut short = job("learned", 1);
     short.items.truncate(1);
     short.items[0].length_hint = 1;
@@ -346,7 +346,7 @@
 }
 
 /// The jobs and hints of all that may start, in order.
-fn started(book: &mut JobBook, now: ids::Moment) -> Vec<(String, u32)> {
+fn started(book: &mut JobTable, now: ids::Moment) -> Vec<(String, u32)> {
     let specs = start_all(book, now);
     let hint = |spec: &jobs::RunSpec| spec.request().expect("an item").length_hint;
     specs.iter().map(|spec| (spec.item.job.to_string(), hint(spec))).collect()
@@ -373,7 +373,7 @@
     let mut asked = Vec::new();
     book.start_ready(at(2), |spec| {
         asked.push(spec.item.job.to_string());
-        if spec.item.job.as_str() == "b" { Ok(None) } else { Err(StartHold::Full) }
+        if spec.item.job.as_str() == "b" { Ok(None) } else { Err(BlockReason::Full) }
     });
     assert_eq!(asked, ["a", "b", "b"]);
 }
@@ -383,13 +383,13 @@
     let mut book = book();
     book.apply(at(0), accepted(job("j", 2)));
     let first = std::cell::Cell::new(None);
-    let ask = |book: &mut JobBook, now| {
+    let ask = |book: &mut JobTable, now| {
         let mut asked = Vec::new();
         book.start_ready(now, |spec| {
             asked.push(spec.item.index);
             let lethal = first.get().unwrap_or(spec.item.index);
             first.set(Some(lethal));
-            if spec.item.index == lethal { Err(StartHold::Condemned) } else { Ok(None) }
+            if spec.item.index == lethal { Err(BlockReason::Quarantined) } else { Ok(None) }
         });
         asked
     };
@@ -405,14 +405,14 @@
     book.apply(at(0), accepted(job("j", 2)));
     let specs = start_all(&mut book, at(1));
     book.run_ended(at(2), &specs[1], &run(RunOutcome::Whole, events(1, 1, 3)));
-    book.scored(at(3), &specs[1].item, RewardEnd::Missed);
+    book.scored(at(3), &specs[1].item, RewardOutcome::Missed);
     // Cut after the call, so it comes before the whole one in the order.
     book.run_ended(at(4), &specs[0], &run(RunOutcome::Cut, Vec::new()));
     book.run_ended(at(4), &specs[2], &run(RunOutcome::Cut, Vec::new()));
     let mut asked = Vec::new();
     book.start_ready(at(500), |spec| {
         asked.push(spec.item.index);
-        if spec.whole { Ok(None) } else { Err(StartHold::Full) }
+        if spec.whole { Ok(None) } else { Err(BlockReason::Full) }
     });
     assert_eq!(asked, [2, 1], "one try for an engine, then the reward call");
 }
@@ -446,8 +446,8 @@
 }
 
 /// Takes, runs, lists and ends a job of two items; its records lie at `offset` and behind.
-fn whole_job(book: &mut JobBook, name: &str, offset: u64) {
-    let place = |offset| Some(RecordPlace { offset, len: 9 });
+fn whole_job(book: &mut JobTable, name: &str, offset: u64) {
+    let place = |offset| Some(RecordLocation { offset, len: 9 });
     let mut job = job(name, 1);
     for item in &mut job.items {
         item.id = format!("{name}-{}", item.id);
@@ -471,7 +471,7 @@
         whole_job(&mut book, &format!("job-{number}"), 1_000 * (number + 1));
     }
     let view = book.page(&id("first"), 0, usize::MAX).expect("held");
-    let places = [RecordPlace { offset: 101, len: 9 }, RecordPlace { offset: 102, len: 9 }];
+    let places = [RecordLocation { offset: 101, len: 9 }, RecordLocation { offset: 102, len: 9 }];
     assert_eq!(view.on_disk, [(0, places[0]), (1, places[1])]);
     assert!(view.page.results.iter().all(|result| result.done && result.text_bytes == 5));
     assert!(book.bytes() < 13 * held, "texts of one job are not held any more");
@@ -479,9 +479,9 @@
     // A copy is made from what lies on disk, and from then on is where it lies.
     let mut cursor = book.snapshot_cursor();
     let piece = book.snapshot_piece(&mut cursor, usize::MAX);
-    let found: Vec<RecordPlace> = piece.on_disk.iter().map(|(_, place)| *place).collect();
+    let found: Vec<RecordLocation> = piece.on_disk.iter().map(|(_, place)| *place).collect();
     assert_eq!(found, places);
-    let moved = RecordPlace { offset: 7, len: 11 };
+    let moved = RecordLocation { offset: 7, len: 11 };
     book.relocate(&[(id("first"), 1, moved)]);
     assert_eq!(book.page(&id("first"), 1, 1).expect("held").on_disk, [(0, moved)]);
 }
@@ -497,11 +497,11 @@
     book.apply(at(0), accepted(job_of("old", "")));
     let (owned, old) = (id("owned"), id("old"));
     assert!(book.may_ask(&owned, "cuka"));
-    assert!(!book.may_ask(&owned, "seje") && book.is_others(&owned, "seje"));
+    assert!(!book.may_ask(&owned, "seje") && book.belongs_to_other_customer(&owned, "seje"));
     // Taken before there were customers, or asked for while the configuration knows none.
     assert!(book.may_ask(&old, "seje") && book.may_ask(&owned, ""));
     let unknown = id("unknown");
-    assert!(!book.may_ask(&unknown, "cuka") && !book.is_others(&unknown, "cuka"));
+    assert!(!book.may_ask(&unknown, "cuka") && !book.belongs_to_other_customer(&unknown, "cuka"));
 }
 
 #[test]
@@ -536,7 +536,7 @@
     book.apply(at(0), accepted(job("old", 1)));
     let specs = start_all(&mut book, at(1));
     let listed = finish(&mut book, &specs[0], events(1, 3, 3));
-    book.apply_at(at(12), listed, Some(RecordPlace { offset: 101, len: 9 }));
+    book.apply_at(at(12), listed, Some(RecordLocation { offset: 101, len: 9 }));
     let end = book.end(&id("old")).expect("it runs");
     book.apply(at(13), end);
     for number in 0..12 {
@@ -569,7 +569,7 @@
     assert!(book.run_ended(at(2), &spec, &run(RunOutcome::Whole, events(1, 3, 3))));
     for failure in 0..3 {
         let now = at(100 * (failure + 1));
-        book.scored(now, &spec.item, RewardEnd::Failed { attempts: 3 });
+        book.scored(now, &spec.item, RewardOutcome::Failed { attempts: 3 });
         if failure < 2 {
             assert_eq!(start_all(&mut book, at(100 * (failure + 1) + 50)).len(), 1);
         }
--- a/crates/jobs/tests/common/mod.rs
+++ b/crates/jobs/tests/common/mod.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use ids::Moment;
-use jobs::{JobBook, RunEnd, RunEvent, RunOutcome, RunSpec, unpack_text};
+use jobs::{JobTable, RunEvent, RunOutcome, RunResult, RunSpec, unpack_text};
 use wire::peer::log_record::Body;
 use wire::peer::{Job, JobItem, LogRecord, RewardCall};
 
-pub fn book() -> JobBook {
-    JobBook::new(Duration::from_mins(2))
+pub fn book() -> JobTable {
+    JobTable::new(Duration::from_mins(2))
 }
 
 pub fn at(millis: u64) -> Moment {
@@ -46,12 +46,12 @@
         .collect()
 }
 
-pub fn run(outcome: RunOutcome, events: Vec<RunEvent>) -> RunEnd {
-    RunEnd { outcome, events, logged: 0 }
+pub fn run(outcome: RunOutcome, events: Vec<RunEvent>) -> RunResult {
+    RunResult { outcome, events, logged: 0 }
 }
 
 /// Starts everything that may start.
-pub fn start_all(book: &mut JobBook, now: Moment) -> Vec<RunSpec> {
+pub fn start_all(book: &mut JobTable, now: Moment) -> Vec<RunSpec> {
     let mut started = Vec::new();
     book.start_ready(now, |spec| {
         started.push(spec);
@@ -60,7 +60,7 @@
     started
 }
 
-pub fn text_of(book: &JobBook, job: &str) -> Vec<String> {
+pub fn text_of(book: &JobTable, job: &str) -> Vec<String> {
     let page = book.page(&job.parse().expect("an id"), 0, usize::MAX).expect("the job is held");
     let texts = page.page.results.iter().map(|result| unpack_text(&result.packed_text));
     texts.map(|text| String::from_utf8(text.expect("packed")).expect("text")).collect()
--- a/crates/jobs/tests/replay.rs
+++ b/crates/jobs/tests/replay.rs
@@ -4,7 +4,7 @@
 
 use common::{accepted, at, book, events, job, run, start_all, text_of};
 use ids::JobId;
-use jobs::{JobBook, RewardEnd, RunOutcome, RunSpec};
+use jobs::{JobTable, RewardOutcome, RunOutcome, RunSpec};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use wire::peer::LogRecord;
@@ -18,7 +18,7 @@
 }
 
 /// Random life of a book; every record it gives is applied and kept.
-fn live(seed: u64) -> (JobBook, Vec<LogRecord>) {
+fn live(seed: u64) -> (JobTable, Vec<LogRecord>) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut book = book();
     let mut log = Vec::new();
@@ -52,9 +52,9 @@
                 };
                 if spec.whole || book.run_ended(now, &spec, &run(outcome, made)) {
                     let end = match rng.random_range(0..4) {
-                        0 => RewardEnd::Missed,
-                        1 => RewardEnd::Failed { attempts: 4 },
-                        _ => RewardEnd::Scored("s".to_owned()),
+                        0 => RewardOutcome::Missed,
+                        1 => RewardOutcome::Failed { attempts: 4 },
+                        _ => RewardOutcome::Scored("s".to_owned()),
                     };
                     records.extend(book.scored(now, &spec.item, end));
                 }
@@ -69,7 +69,7 @@
     (book, log)
 }
 
-fn texts(book: &JobBook) -> Vec<Vec<String>> {
+fn texts(book: &JobTable) -> Vec<Vec<String>> {
     let held = (0..JOBS).map(name).filter(|name| book.knows(&name.parse().expect("an id")));
     held.map(|name| text_of(book, &name)).collect()
 }
--- a/crates/jobs/tests/trace.rs
+++ b/crates/jobs/tests/trace.rs
@@ -6,7 +6,7 @@
 
 use common::{accepted, at, book, events, job, run, start_all, text_of};
 use ids::JobId;
-use jobs::{JobBook, RewardEnd, RunOutcome, RunSpec, StartHold};
+use jobs::{BlockReason, JobTable, RewardOutcome, RunOutcome, RunSpec};
 use wire::peer::Job;
 
 fn id(text: &str) -> JobId {
@@ -17,12 +17,12 @@
     Duration::from_millis(millis)
 }
 
-fn start(book: &mut JobBook, now: u64, wanted: &str) -> Option<RunSpec> {
+fn start(book: &mut JobTable, now: u64, wanted: &str) -> Option<RunSpec> {
     let mut started = None;
     book.start_ready(at(now), |spec| {
         let is_wanted = spec.request().is_some_and(|item| item.id == wanted);
         if started.is_some() || !is_wanted {
-            return Err(StartHold::Full);
+            return Err(BlockReason::Full);
         }
         started = Some(spec);
         Ok(Some("engine-1".parse().expect("an id")))
@@ -30,9 +30,9 @@
     started
 }
 
-fn finish(book: &mut JobBook, spec: &RunSpec, ran: u64, scored: u64, listed: u64) {
+fn finish(book: &mut JobTable, spec: &RunSpec, ran: u64, scored: u64, listed: u64) {
     book.run_ended(at(ran), spec, &run(RunOutcome::Whole, events(1, 1, 3)));
-    let record = book.scored(at(scored), &spec.item, RewardEnd::Scored("s".to_owned()));
+    let record = book.scored(at(scored), &spec.item, RewardOutcome::Scored("s".to_owned()));
     book.apply(at(listed), record.expect("listed"));
 }
 
@@ -40,8 +40,8 @@
 fn the_last_wanted_item_tells_what_it_spent_its_time_on() {
     let mut book = book();
     book.apply(at(1_000), accepted(Job { wanted_groups: 1, ..job("j", 1) }));
-    book.start_ready(at(1_000), |_spec| Err(StartHold::OldWeights));
-    book.start_ready(at(1_300), |_spec| Err(StartHold::Full));
+    book.start_ready(at(1_000), |_spec| Err(BlockReason::OldWeights));
+    book.start_ready(at(1_300), |_spec| Err(BlockReason::Full));
     let first = start(&mut book, 1_400, "item-0").expect("started");
     let second = start(&mut book, 1_500, "item-1").expect("started");
     finish(&mut book, &first, 1_700, 1_750, 1_800);
@@ -59,7 +59,7 @@
     assert_eq!((last.waited, last.ran, last.scored), (ms(500), ms(1_000), ms(400)));
     assert_eq!(last.runs, 1);
     // Held by old weights for 0.3 s, then by full engines until both had started.
-    assert_eq!(account.holds, [(StartHold::OldWeights, ms(300)), (StartHold::Full, ms(200))]);
+    assert_eq!(account.holds, [(BlockReason::OldWeights, ms(300)), (BlockReason::Full, ms(200))]);
 }
 
 #[test]
--- a/crates/keeping/src/keeper.rs
+++ b/crates/keeping/src/keeper.rs
@@ -11,14 +11,14 @@
     TargetId, TrainerId, VersionWindow,
 };
 use ledger::{
-    HandOut, LedgerError, PoolRule, Pull, Settled, SlotSet, StepLedger, StepSnapshot, StepSpec,
+    LedgerError, PoolRule, Pull, PulledBatch, Settled, SlotSet, StepLedger, StepSnapshot, StepSpec,
 };
-use placement::{NotRun, TargetChoice, TargetChooser};
+use placement::{NotRun, PlacementPolicy, TargetChooser};
 use pools::PoolSpec;
 use rand::Rng;
 
 use crate::messages::EndHint;
-use crate::{AttemptEnd, KeeperAction, KeeperRefusal, KeptState, Placement};
+use crate::{AttemptOutcome, KeeperAction, KeeperRefusal, KeptState, Placement};
 
 /// Most steps open at once for one trainer: the one it trains on, the next, and one to spare.
 const MOST_STEPS: usize = 3;
@@ -91,7 +91,7 @@
     }
 }
 
-impl<R: Rng, C: TargetChoice> StepKeeper<R, C> {
+impl<R: Rng, C: PlacementPolicy> StepKeeper<R, C> {
     /// A keeper that begins to claim its lease, with its own way to choose targets.
     pub fn with_choice(now: Moment, settings: KeeperSettings, rng: R, chooser: C) -> Self {
         let claim = LeaseClaim::new(
@@ -162,7 +162,7 @@
         let Some(rule) = self.rule() else { return };
         // The pool's version is the named one as soon as its configuration is in force.
         for ledger in self.steps.values_mut() {
-            ledger.pool_names(rule);
+            ledger.set_pool_rule(rule);
         }
     }
 
@@ -214,7 +214,7 @@
         now: Moment,
         step: StepNumber,
         pull: &Pull,
-    ) -> Result<(HandOut, KeptState), KeeperRefusal> {
+    ) -> Result<(PulledBatch, KeptState), KeeperRefusal> {
         self.act(now, pull.seen)?;
         let ledger = self.ledger(step)?;
         let out = ledger.pull(pull)?;
@@ -231,7 +231,7 @@
         seen: FencingToken,
     ) -> Result<KeptState, KeeperRefusal> {
         self.act(now, seen)?;
-        self.ledger(step)?.trainer_names(version);
+        self.ledger(step)?.set_trainer_version(version);
         self.state(step)
     }
 
@@ -264,7 +264,7 @@
         &mut self,
         now: Moment,
         placement: &Placement,
-        end: AttemptEnd,
+        end: AttemptOutcome,
         hint: EndHint,
     ) -> Option<Settled> {
         self.in_flight = self.in_flight.saturating_sub(1);
@@ -278,9 +278,9 @@
         let ledger = self.steps.get_mut(&placement.step)?;
         let (slot, attempt) = (placement.assignment.slot, placement.assignment.attempt);
         match end {
-            AttemptEnd::Made(sample) => return Some(ledger.finished(attempt, sample)),
-            AttemptEnd::NotRun { .. } => ledger.failed(slot, attempt, false),
-            AttemptEnd::Unusable | AttemptEnd::TooOld => ledger.failed(slot, attempt, true),
+            AttemptOutcome::Made(sample) => return Some(ledger.finished(attempt, sample)),
+            AttemptOutcome::NotRun { .. } => ledger.failed(slot, attempt, false),
+            AttemptOutcome::Unusable | AttemptOutcome::TooOld => ledger.failed(slot, attempt, true),
         }
         None
     }
@@ -343,7 +343,7 @@
     pub fn adopt(&mut self, now: Moment, snapshots: Vec<StepSnapshot>, token: FencingToken) {
         self.seen = self.seen.max(token);
         self.claim.raise(now, self.seen);
-        self.claim.hurry(now);
+        self.claim.expedite(now);
         self.adopted = snapshots;
         self.follow_claim(now);
     }
@@ -414,7 +414,7 @@
                 let window = Some(ledger.window());
                 let chosen = self.chooser.choose(now, &pool.engines, window, &mut self.rng);
                 let Some(target) = chosen.cloned() else {
-                    let rest_end = self.chooser.next_rest_end(now);
+                    let rest_end = self.chooser.next_backoff_end(now);
                     let retry = now + STARVED_RETRY;
                     self.starved_until = Some(rest_end.map_or(retry, |end| end.min(retry)));
                     return;
@@ -429,14 +429,14 @@
         }
     }
 
-    fn note_target(&mut self, now: Moment, target: &TargetId, end: &AttemptEnd) {
+    fn note_target(&mut self, now: Moment, target: &TargetId, end: &AttemptOutcome) {
         match end {
-            AttemptEnd::Made(_) | AttemptEnd::TooOld => self.chooser.succeeded(target),
-            AttemptEnd::Unusable => self.chooser.failed(now, target),
-            AttemptEnd::NotRun { reason: NotRun::Unreachable, .. } => {
+            AttemptOutcome::Made(_) | AttemptOutcome::TooOld => self.chooser.succeeded(target),
+            AttemptOutcome::Unusable => self.chooser.failed(now, target),
+            AttemptOutcome::NotRun { reason: NotRun::Unreachable, .. } => {
                 self.chooser.failed(now, target);
             }
-            AttemptEnd::NotRun { retry_after, .. } => {
+            AttemptOutcome::NotRun { retry_after, .. } => {
                 self.chooser.refused(now, target, *retry_after);
             }
         }
--- a/crates/keeping/src/keeper/reign.rs
+++ b/crates/keeping/src/keeper/reign.rs
@@ -6,7 +6,7 @@
 use coord::lease::LeaseAction;
 use ids::{FencingToken, Moment};
 use ledger::{StepLedger, StepSnapshot};
-use placement::TargetChoice;
+use placement::PlacementPolicy;
 use rand::Rng;
 
 use super::{StepKeeper, VainAsks};
@@ -24,7 +24,7 @@
 /// Fencing token under which a detached keeper starts when the trainer has seen none.
 const FIRST_TOKEN: FencingToken = FencingToken::new(1);
 
-impl<R: Rng, C: TargetChoice> StepKeeper<R, C> {
+impl<R: Rng, C: PlacementPolicy> StepKeeper<R, C> {
     /// Follows what the claim learnt: acts under a new token, or stops for another holder.
     pub(super) fn follow_claim(&mut self, now: Moment) {
         if let Some(token) = self.claim.held(now) {
@@ -106,7 +106,7 @@
             _ => {
                 // The first question wakes a claim that rested; later ones must not make it
                 // read more often than its term wants.
-                self.claim.hurry(now);
+                self.claim.expedite(now);
                 now
             }
         };
--- a/crates/keeping/src/lib.rs
+++ b/crates/keeping/src/lib.rs
@@ -12,4 +12,4 @@
 mod messages;
 
 pub use keeper::{KeeperSettings, StepKeeper};
-pub use messages::{AttemptEnd, KeeperAction, KeeperRefusal, KeptState, Placement};
+pub use messages::{AttemptOutcome, KeeperAction, KeeperRefusal, KeptState, Placement};
--- a/crates/keeping/src/messages.rs
+++ b/crates/keeping/src/messages.rs
@@ -29,7 +29,7 @@
 
 /// How an attempt ended.
 #[derive(Debug, Clone, PartialEq)]
-pub enum AttemptEnd {
+pub enum AttemptOutcome {
     /// A whole, attributed and judged sample.
     Made(Sample),
     /// The work did not run; come back to this target after the time stated.
--- a/crates/keeping/tests/keeper.rs
+++ b/crates/keeping/tests/keeper.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use coord::lease::{LeaseAction, LeaseRecord, LeaseSighting, ReadOutcome, WriteOutcome};
+use coord::lease::{LeaseAction, LeaseRecord, ReadOutcome, VersionedLease, WriteOutcome};
 use ids::{
     FencingToken, Generation, Incarnation, ModelVersion, Moment, ObjectVersion, StepNumber,
     TokenCount,
 };
-use keeping::{AttemptEnd, KeeperAction, KeeperRefusal, KeeperSettings, Placement, StepKeeper};
+use keeping::{AttemptOutcome, KeeperAction, KeeperRefusal, KeeperSettings, Placement, StepKeeper};
 use ledger::{GroupSpec, Pull, Sample, SlotSet, StepSpec, VersionSpan};
-use pools::{Favours, PoolLimits, PoolSpec, SwapPolicy};
+use pools::{PoolLimits, PoolObjective, PoolSpec, SwapPolicy};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
 
@@ -24,7 +24,7 @@
         name: "layout".parse().expect("an id"),
         version: ModelVersion::new(version),
         staleness_bound: 1,
-        favours: Favours::Staleness,
+        favours: PoolObjective::Staleness,
         trainers: vec!["press-1".parse().expect("an id")],
         engines: vec!["engine-1".parse().expect("an id")],
         scorers: Vec::new(),
@@ -67,7 +67,7 @@
         released: false,
         quiet_ms: 0,
     };
-    ReadOutcome::Found(LeaseSighting { version: ObjectVersion::new(version), record })
+    ReadOutcome::Found(VersionedLease { version: ObjectVersion::new(version), record })
 }
 
 /// Lets the keeper take a lease that nobody holds.
@@ -195,7 +195,7 @@
                 engine: placement.target.clone(),
             };
             made += 1;
-            keeper.attempt_ended(at(*now), &placement, AttemptEnd::Made(sample), None);
+            keeper.attempt_ended(at(*now), &placement, AttemptOutcome::Made(sample), None);
         }
     };
     // Two at a time, by the trainer's limit; the third and fourth must wait.
--- a/crates/ledger/src/intake.rs
+++ b/crates/ledger/src/intake.rs
@@ -10,7 +10,7 @@
 
 /// What an answer to a pull brought.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Intake {
+pub struct ReceivedBatch {
     /// Samples taken, to train on.
     pub taken: Vec<Sample>,
     /// Samples of slots held already, dropped.
@@ -31,7 +31,7 @@
 
 /// The trainer's record of one step.
 #[derive(Debug, Clone)]
-pub struct StepIntake {
+pub struct StepReceiver {
     spec: StepSpec,
     slots: usize,
     held: SlotSet,
@@ -39,7 +39,7 @@
     naming: VersionNaming,
 }
 
-impl StepIntake {
+impl StepReceiver {
     /// The record of a step that holds nothing yet.
     pub fn new(spec: StepSpec) -> Self {
         let naming = VersionNaming::new(spec.version, PoolRule::default());
@@ -79,7 +79,7 @@
 
     /// Names a newer version; answers made of older ones are refused from now on.
     pub fn advance(&mut self, version: ModelVersion) {
-        self.naming.trainer_names(version);
+        self.naming.set_trainer_version(version);
     }
 
     /// Takes a keeper's word of its token and the pool's rule, and the samples of an answer. A
@@ -89,14 +89,14 @@
         token: FencingToken,
         rule: PoolRule,
         samples: Vec<Sample>,
-    ) -> Result<Intake, OldToken> {
+    ) -> Result<ReceivedBatch, OldToken> {
         if token < self.seen {
             return Err(OldToken { token, seen: self.seen });
         }
         self.seen = token;
-        self.naming.pool_names(rule);
+        self.naming.set_pool_rule(rule);
         let window = self.window();
-        let mut intake = Intake::default();
+        let mut intake = ReceivedBatch::default();
         for sample in samples {
             if sample.slot.as_usize() >= self.slots {
                 intake.foreign += 1;
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -18,13 +18,14 @@
 mod step;
 mod trail;
 
-pub use intake::{Intake, OldToken, StepIntake};
+pub use intake::{OldToken, ReceivedBatch, StepReceiver};
 pub use messages::{
-    Assignment, AttemptId, HandOut, LedgerError, Progress, Pull, Settled, StepSnapshot, WaitCause,
+    Assignment, AttemptId, LedgerError, Progress, Pull, PulledBatch, Settled, StepSnapshot,
+    WaitCause,
 };
 pub use naming::{PoolRule, VersionNaming};
 pub use sample::{Sample, VersionSpan};
 pub use slots::{SlotSet, SlotSetError};
 pub use spec::{GroupSpec, SpecError, StepSpec};
 pub use step::StepLedger;
-pub use trail::{ChunkStamp, StampTrail, TrailError};
+pub use trail::{ChunkAssembler, ChunkError, ChunkStamp};
--- a/crates/ledger/src/messages.rs
+++ b/crates/ledger/src/messages.rs
@@ -48,7 +48,7 @@
 
 /// The answer to a pull.
 #[derive(Debug, Clone)]
-pub struct HandOut {
+pub struct PulledBatch {
     /// Samples, lowest slot first.
     pub samples: Vec<Arc<Sample>>,
     /// The step's progress.
--- a/crates/ledger/src/naming.rs
+++ b/crates/ledger/src/naming.rs
@@ -32,12 +32,12 @@
     }
 
     /// The trainer names a version; an older one changes nothing.
-    pub fn trainer_names(&mut self, version: ModelVersion) {
+    pub fn set_trainer_version(&mut self, version: ModelVersion) {
         self.trainer = self.trainer.max(version);
     }
 
     /// The configuration names a version; an older generation changes nothing.
-    pub fn pool_names(&mut self, rule: PoolRule) {
+    pub fn set_pool_rule(&mut self, rule: PoolRule) {
         if rule.generation >= self.rule.generation {
             self.rule = rule;
         }
--- a/crates/ledger/src/spec.rs
+++ b/crates/ledger/src/spec.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use ids::{AnswerDigest, DigestWriter, ModelVersion, SlotIndex, StepNumber, TokenCount};
+use ids::{ContentDigest, DigestWriter, ModelVersion, SlotIndex, StepNumber, TokenCount};
 use serde::{Deserialize, Serialize};
 
 /// Most slots in one step; four times the two-year size, and still a 4 KiB bitmap.
@@ -76,7 +76,7 @@
     }
 
     /// Digest of the whole body; tells a repeated open from a conflicting one.
-    pub fn digest(&self) -> AnswerDigest {
+    pub fn digest(&self) -> ContentDigest {
         let mut writer = DigestWriter::default();
         writer.update(&self.step.get().to_le_bytes());
         writer.update(&self.version.get().to_le_bytes());
--- a/crates/ledger/src/step.rs
+++ b/crates/ledger/src/step.rs
@@ -6,7 +6,7 @@
 use ids::{FencingToken, ModelVersion, SlotIndex, VersionWindow};
 
 use crate::{
-    Assignment, AttemptId, HandOut, LedgerError, PoolRule, Progress, Pull, Sample, Settled,
+    Assignment, AttemptId, LedgerError, PoolRule, Progress, Pull, PulledBatch, Sample, Settled,
     SlotSet, StepSnapshot, StepSpec, VersionNaming, WaitCause,
 };
 
@@ -67,7 +67,7 @@
     ) -> Result<Self, LedgerError> {
         let mut ledger = Self::open(snapshot.spec, token, snapshot.naming.rule())?;
         ledger.naming = snapshot.naming;
-        ledger.naming.pool_names(rule);
+        ledger.naming.set_pool_rule(rule);
         ledger.hold(&snapshot.held)?;
         for sample in snapshot.samples {
             let frozen = snapshot.frozen.contains(sample.slot);
@@ -153,14 +153,14 @@
     }
 
     /// The trainer names a version; samples that became too old are wanted again.
-    pub fn trainer_names(&mut self, version: ModelVersion) {
-        self.naming.trainer_names(version);
+    pub fn set_trainer_version(&mut self, version: ModelVersion) {
+        self.naming.set_trainer_version(version);
         self.discard_old();
     }
 
     /// The configuration names a version; samples that became too old are wanted again.
-    pub fn pool_names(&mut self, rule: PoolRule) {
-        self.naming.pool_names(rule);
+    pub fn set_pool_rule(&mut self, rule: PoolRule) {
+        self.naming.set_pool_rule(rule);
         self.discard_old();
     }
 
@@ -199,7 +199,7 @@
     }
 
     /// Takes a pull: notes what the trainer holds, then hands out fresh samples.
-    pub fn pull(&mut self, pull: &Pull) -> Result<HandOut, LedgerError> {
+    pub fn pull(&mut self, pull: &Pull) -> Result<PulledBatch, LedgerError> {
         if pull.seen > self.token {
             return Err(LedgerError::Superseded { mine: self.token, seen: pull.seen });
         }
@@ -215,7 +215,7 @@
             .take(pull.most)
             .collect();
         let samples = out.into_iter().filter_map(|slot| self.freeze(slot)).collect();
-        Ok(HandOut { samples, progress: self.progress() })
+        Ok(PulledBatch { samples, progress: self.progress() })
     }
 
     /// Whether a slot wants an attempt.
--- a/crates/ledger/src/trail.rs
+++ b/crates/ledger/src/trail.rs
@@ -3,7 +3,7 @@
 //! A sample's versions are the engine's own stamps on each chunk, never what an order was
 //! meant to do. A missing or contradictory stamp makes the whole answer unusable.
 
-use ids::{AnswerDigest, DigestWriter, Incarnation, ModelVersion, TokenCount};
+use ids::{ContentDigest, DigestWriter, Incarnation, ModelVersion, TokenCount};
 
 use crate::VersionSpan;
 
@@ -22,7 +22,7 @@
 
 /// Why an answer cannot be used; it is made again.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum TrailError {
+pub enum ChunkError {
     /// A chunk without a version.
     #[error("chunk {index} has no version stamp: the sample is made again")]
     MissingStamp {
@@ -57,7 +57,7 @@
 
 /// The stamps and text of one stream, as far as it came.
 #[derive(Debug, Default)]
-pub struct StampTrail {
+pub struct ChunkAssembler {
     spans: Vec<VersionSpan>,
     text: String,
     digest: DigestWriter,
@@ -66,17 +66,17 @@
     incarnation: Option<Incarnation>,
 }
 
-impl StampTrail {
+impl ChunkAssembler {
     /// Takes the next chunk.
-    pub fn chunk(&mut self, stamp: ChunkStamp, text: &str) -> Result<(), TrailError> {
+    pub fn chunk(&mut self, stamp: ChunkStamp, text: &str) -> Result<(), ChunkError> {
         if stamp.index != self.next_index {
-            return Err(TrailError::OutOfOrder { expected: self.next_index, found: stamp.index });
+            return Err(ChunkError::OutOfOrder { expected: self.next_index, found: stamp.index });
         }
         let Some(version) = stamp.version else {
-            return Err(TrailError::MissingStamp { index: stamp.index });
+            return Err(ChunkError::MissingStamp { index: stamp.index });
         };
         if self.incarnation.is_some_and(|first| first != stamp.incarnation) {
-            return Err(TrailError::MixedLives);
+            return Err(ChunkError::MixedLives);
         }
         self.incarnation = Some(stamp.incarnation);
         self.next_index += 1;
@@ -96,13 +96,13 @@
     pub fn finish(
         self,
         tokens: TokenCount,
-        digest: AnswerDigest,
-    ) -> Result<(Vec<VersionSpan>, String), TrailError> {
+        digest: ContentDigest,
+    ) -> Result<(Vec<VersionSpan>, String), ChunkError> {
         if self.spans.is_empty() {
-            return Err(TrailError::Empty);
+            return Err(ChunkError::Empty);
         }
         if tokens.get() != self.tokens || digest != self.digest.digest() {
-            return Err(TrailError::WrongEnd {
+            return Err(ChunkError::WrongEnd {
                 stated: tokens,
                 came: TokenCount::new(self.tokens),
             });
--- a/crates/ledger/tests/attribution.rs
+++ b/crates/ledger/tests/attribution.rs
@@ -1,8 +1,8 @@
 //! Attribution: what the engine stamped, and nothing else.
 
 use arbtest::arbtest;
-use ids::{AnswerDigest, DigestWriter, Incarnation, ModelVersion, TokenCount};
-use ledger::{ChunkStamp, SlotSet, StampTrail, TrailError};
+use ids::{ContentDigest, DigestWriter, Incarnation, ModelVersion, TokenCount};
+use ledger::{ChunkAssembler, ChunkError, ChunkStamp, SlotSet};
 
 fn stamp(index: u32, version: Option<u64>, life: u64) -> ChunkStamp {
     ChunkStamp {
@@ -15,11 +15,11 @@
 
 #[test]
 fn a_swap_in_mid_stream_names_both_versions() {
-    let mut trail = StampTrail::default();
+    let mut trail = ChunkAssembler::default();
     trail.chunk(stamp(0, Some(1), 1), "ab").expect("a good chunk");
     trail.chunk(stamp(1, Some(2), 1), "cd").expect("a good chunk");
     trail.chunk(stamp(2, Some(2), 1), "ef").expect("a good chunk");
-    let end = trail.finish(TokenCount::new(24), AnswerDigest::of(b"abcdef"));
+    let end = trail.finish(TokenCount::new(24), ContentDigest::of(b"abcdef"));
     let (spans, text) = end.expect("a whole answer");
     let spans: Vec<(u64, u32)> =
         spans.iter().map(|span| (span.version.get(), span.tokens.get())).collect();
@@ -28,15 +28,15 @@
 
 #[test]
 fn a_missing_stamp_makes_the_answer_unusable() {
-    let mut trail = StampTrail::default();
+    let mut trail = ChunkAssembler::default();
     let error = trail.chunk(stamp(0, None, 1), "ab");
-    assert_eq!(error, Err(TrailError::MissingStamp { index: 0 }));
+    assert_eq!(error, Err(ChunkError::MissingStamp { index: 0 }));
 }
 
 #[test]
 fn chunks_lost_doubled_or_of_two_lives_make_it_unusable() {
     for (index, life) in [(2, 1), (0, 1), (1, 2)] {
-        let mut trail = StampTrail::default();
+        let mut trail = ChunkAssembler::default();
         trail.chunk(stamp(0, Some(1), 1), "ab").expect("a good chunk");
         assert!(trail.chunk(stamp(index, Some(1), life), "cd").is_err(), "{index} {life}");
     }
@@ -45,13 +45,13 @@
 #[test]
 fn an_end_that_does_not_match_is_refused() {
     for (tokens, text) in [(16, "ab"), (8, "ac"), (0, "")] {
-        let mut trail = StampTrail::default();
+        let mut trail = ChunkAssembler::default();
         trail.chunk(stamp(0, Some(1), 1), "ab").expect("a good chunk");
-        let end = trail.finish(TokenCount::new(tokens), AnswerDigest::of(text.as_bytes()));
-        assert!(matches!(end, Err(TrailError::WrongEnd { .. })), "{tokens} {text}");
+        let end = trail.finish(TokenCount::new(tokens), ContentDigest::of(text.as_bytes()));
+        assert!(matches!(end, Err(ChunkError::WrongEnd { .. })), "{tokens} {text}");
     }
-    let empty = StampTrail::default().finish(TokenCount::new(0), AnswerDigest::of(b""));
-    assert_eq!(empty, Err(TrailError::Empty));
+    let empty = ChunkAssembler::default().finish(TokenCount::new(0), ContentDigest::of(b""));
+    assert_eq!(empty, Err(ChunkError::Empty));
 }
 
 /// Whatever is lost, doubled or swapped on the way, an answer is whole or refused.
@@ -77,7 +77,7 @@
                     _ => {}
                 }
             }
-            let mut trail = StampTrail::default();
+            let mut trail = ChunkAssembler::default();
             let taken = came.iter().try_for_each(|(stamp, text)| trail.chunk(*stamp, text));
             let end =
                 taken.and_then(|()| trail.finish(TokenCount::new(8 * count), digest.digest()));
--- a/crates/ledger/tests/delivery.rs
+++ b/crates/ledger/tests/delivery.rs
@@ -4,8 +4,8 @@
 
 use ids::{FencingToken, Generation, ModelVersion, SlotIndex, StepNumber, TargetId, TokenCount};
 use ledger::{
-    Assignment, GroupSpec, LedgerError, PoolRule, Pull, Sample, Settled, SlotSet, StepIntake,
-    StepLedger, StepSpec, VersionSpan,
+    Assignment, GroupSpec, LedgerError, PoolRule, Pull, Sample, Settled, SlotSet, StepLedger,
+    StepReceiver, StepSpec, VersionSpan,
 };
 
 const TOKEN: FencingToken = FencingToken::new(3);
@@ -111,7 +111,7 @@
 fn a_sample_too_old_when_it_ends_is_made_again() {
     let mut ledger = open(1);
     let work = next(&mut ledger);
-    ledger.trainer_names(ModelVersion::new(3));
+    ledger.set_trainer_version(ModelVersion::new(3));
     assert_eq!(ledger.finished(work.attempt, sample(work.slot, &[1, 3], "a")), Settled::TooOld);
     assert_eq!(next(&mut ledger).slot, work.slot);
 }
@@ -121,7 +121,7 @@
     let mut ledger = open(1);
     let work = next(&mut ledger);
     ledger.finished(work.attempt, sample(work.slot, &[1], "a"));
-    ledger.pool_names(rule(2, 3));
+    ledger.set_pool_rule(rule(2, 3));
     let out = ledger.pull(&pull(&SlotSet::default(), TOKEN)).expect("a pull");
     assert!(out.samples.is_empty());
     assert_eq!(next(&mut ledger).slot, work.slot);
@@ -134,17 +134,17 @@
     ledger.finished(work.attempt, sample(work.slot, &[1, 2], "a"));
     let held = SlotSet::default();
     assert!(ledger.pull(&pull(&held, TOKEN)).expect("a pull").samples.is_empty());
-    ledger.pool_names(rule(2, 2));
+    ledger.set_pool_rule(rule(2, 2));
     assert_eq!(ledger.pull(&pull(&held, TOKEN)).expect("a pull").samples.len(), 1);
 }
 
 #[test]
 fn a_roll_back_is_followed_and_an_older_generation_is_not() {
     let mut ledger = open(1);
-    ledger.pool_names(rule(2, 5));
-    ledger.pool_names(rule(3, 2));
+    ledger.set_pool_rule(rule(2, 5));
+    ledger.set_pool_rule(rule(3, 2));
     assert_eq!(ledger.window().named, ModelVersion::new(2));
-    ledger.pool_names(rule(2, 5));
+    ledger.set_pool_rule(rule(2, 5));
     assert_eq!(ledger.window().named, ModelVersion::new(2));
 }
 
@@ -166,7 +166,7 @@
 
 #[test]
 fn the_trainer_takes_each_slot_once_and_nothing_stale() {
-    let mut intake = StepIntake::new(spec(2));
+    let mut intake = StepReceiver::new(spec(2));
     let slot = SlotIndex::new(0);
     let taken = intake.take(TOKEN, rule(1, 2), vec![sample(slot, &[2], "a")]);
     assert_eq!(taken.expect("a good token").taken.len(), 1);
@@ -179,7 +179,7 @@
 
 #[test]
 fn the_trainer_refuses_an_answer_under_a_lower_token() {
-    let mut intake = StepIntake::new(spec(1));
+    let mut intake = StepReceiver::new(spec(1));
     let slot = SlotIndex::new(0);
     intake.take(TOKEN.next(), rule(1, 1), Vec::new()).expect("the first token");
     let refused = intake.take(TOKEN, rule(1, 1), vec![sample(slot, &[1], "a")]);
