--- a/crates/links/src/answer.rs
+++ b/crates/links/src/answer.rs
@@ -5,16 +5,16 @@
 use tokio::sync::mpsc;
 use tokio::time;
 use tokio_util::sync::CancellationToken;
-use wire::AnswerTally;
+use wire::ResponseChecksum;
 use wire::peer::frame::Body;
-use wire::peer::{Cancel, End, Frame, Item, Refused};
+use wire::peer::{Cancel, End, Frame, Refused, ResponseItem};
 
 use crate::CallError;
 use crate::pool::OpenCalls;
 
 /// What the end of an answer states beside its tally.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct AnswerEnd {
+pub struct ResponseEnd {
     /// Tokens the engine stated, for engine streams.
     pub tokens: u32,
     /// Digest of the text that the engine stated, for engine streams.
@@ -23,25 +23,25 @@
 
 /// Sends one answer.
 #[derive(Debug)]
-pub struct AnswerSink {
+pub struct ResponseSink {
     call: u64,
     frames: mpsc::Sender<Frame>,
-    tally: AnswerTally,
+    tally: ResponseChecksum,
 }
 
-impl AnswerSink {
+impl ResponseSink {
     pub(crate) fn new(call: u64, frames: mpsc::Sender<Frame>) -> Self {
-        Self { call, frames, tally: AnswerTally::default() }
+        Self { call, frames, tally: ResponseChecksum::default() }
     }
 
     /// Sends an item; `false` when the connection is gone.
-    pub async fn item(&mut self, item: Item) -> bool {
+    pub async fn item(&mut self, item: ResponseItem) -> bool {
         self.tally.count(&item);
         self.send(Body::Item(item)).await
     }
 
     /// Sends the explicit end.
-    pub async fn end(self, end: AnswerEnd) {
+    pub async fn end(self, end: ResponseEnd) {
         let tallied = self.tally.end();
         let end = End { tokens: end.tokens, text_digest: end.text_digest, ..tallied };
         self.send(Body::End(end)).await;
@@ -69,15 +69,15 @@
 
 /// Receives one answer; dropping it before the end cancels the call.
 #[derive(Debug)]
-pub struct AnswerStream {
+pub struct ResponseStream {
     bodies: mpsc::Receiver<Frame>,
     cancel: CancelPath,
-    tally: AnswerTally,
-    end: Option<AnswerEnd>,
+    tally: ResponseChecksum,
+    end: Option<ResponseEnd>,
     closed: bool,
 }
 
-impl AnswerStream {
+impl ResponseStream {
     pub(crate) fn new(
         call: u64,
         bodies: mpsc::Receiver<Frame>,
@@ -88,19 +88,19 @@
     }
 
     /// Both ends of an answer within one box; the token ends when the stream is dropped.
-    pub fn local() -> (AnswerSink, Self, CancellationToken) {
+    pub fn local() -> (ResponseSink, Self, CancellationToken) {
         let (frames, bodies) = mpsc::channel(LOCAL_QUEUE);
         let token = CancellationToken::new();
         let stream = Self::with_cancel(bodies, CancelPath::Local(token.clone()));
-        (AnswerSink::new(0, frames), stream, token)
+        (ResponseSink::new(0, frames), stream, token)
     }
 
     fn with_cancel(bodies: mpsc::Receiver<Frame>, cancel: CancelPath) -> Self {
-        Self { bodies, cancel, tally: AnswerTally::default(), end: None, closed: false }
+        Self { bodies, cancel, tally: ResponseChecksum::default(), end: None, closed: false }
     }
 
     /// The next item, or `None` after the checked end; `silence` is the longest wait for it.
-    pub async fn next(&mut self, silence: Duration) -> Result<Option<Item>, CallError> {
+    pub async fn next(&mut self, silence: Duration) -> Result<Option<ResponseItem>, CallError> {
         if self.closed {
             return Ok(None);
         }
@@ -121,7 +121,7 @@
                 if self.tally.check(&end).is_err() {
                     return Err(CallError::Broken { why: "the end does not match the items" });
                 }
-                self.end = Some(AnswerEnd { tokens: end.tokens, text_digest: end.text_digest });
+                self.end = Some(ResponseEnd { tokens: end.tokens, text_digest: end.text_digest });
                 Ok(None)
             }
             Some(Body::Refused(refused)) => Err(self.close(CallError::Refused(Box::new(refused)))),
@@ -130,12 +130,12 @@
     }
 
     /// What the checked end stated; `None` before it came.
-    pub const fn end(&self) -> Option<AnswerEnd> {
+    pub const fn end(&self) -> Option<ResponseEnd> {
         self.end
     }
 
     /// The only item of an answer that has exactly one.
-    pub async fn single(mut self, silence: Duration) -> Result<Item, CallError> {
+    pub async fn single(mut self, silence: Duration) -> Result<ResponseItem, CallError> {
         let first = self.next(silence).await?;
         let Some(item) = first else {
             return Err(CallError::Broken { why: "an answer without items" });
@@ -152,7 +152,7 @@
     }
 }
 
-impl Drop for AnswerStream {
+impl Drop for ResponseStream {
     fn drop(&mut self) {
         if self.closed {
             return;
--- a/crates/links/src/error.rs
+++ b/crates/links/src/error.rs
@@ -28,7 +28,7 @@
 
 impl CallError {
     /// Whether the work surely did not run.
-    pub fn surely_not_run(&self) -> bool {
+    pub fn definitely_not_run(&self) -> bool {
         match self {
             Self::NotSent { .. } => true,
             Self::Broken { .. } | Self::LinkLost => false,
--- a/crates/links/src/lib.rs
+++ b/crates/links/src/lib.rs
@@ -15,7 +15,7 @@
 mod server;
 mod shard;
 
-pub use answer::{AnswerEnd, AnswerSink, AnswerStream};
+pub use answer::{ResponseEnd, ResponseSink, ResponseStream};
 pub use error::CallError;
 pub use pool::{LinkPool, LinkSettings};
 pub use pulse::{LinkPulse, PulseStep};
--- a/crates/links/src/pool.rs
+++ b/crates/links/src/pool.rs
@@ -13,11 +13,11 @@
 use tokio_util::codec::Framed;
 use tokio_util::sync::CancellationToken;
 use wire::peer::frame::Body;
-use wire::peer::{Beat, Frame, Ping, Proof, Request};
+use wire::peer::{BoxHeartbeat, ChallengeResponse, Frame, Ping, Request};
 use wire::{DeploymentKey, FrameCodec};
 
 use crate::pulse::{LinkPulse, PulseStep};
-use crate::{AnswerStream, CallError};
+use crate::{CallError, ResponseStream};
 
 /// Frames that wait for the connection's writer.
 const WRITE_QUEUE: usize = 256;
@@ -113,7 +113,7 @@
     }
 
     /// Sends a request to the box at `address`.
-    pub async fn call(&self, address: &str, request: Request) -> Result<AnswerStream, CallError> {
+    pub async fn call(&self, address: &str, request: Request) -> Result<ResponseStream, CallError> {
         let link = self.link(address).await?;
         let call = link.next_call.fetch_add(1, Ordering::Relaxed);
         let (bodies, receiver) = mpsc::channel(ANSWER_QUEUE);
@@ -130,13 +130,13 @@
         if link.closed.is_cancelled() {
             link.calls.remove(call);
         }
-        Ok(AnswerStream::new(call, receiver, link.frames, link.calls))
+        Ok(ResponseStream::new(call, receiver, link.frames, link.calls))
     }
 
     /// Sends a heartbeat; a failure shows as the peer's own silence.
-    pub async fn beat(&self, address: &str, beat: Beat) -> Result<(), CallError> {
+    pub async fn beat(&self, address: &str, beat: BoxHeartbeat) -> Result<(), CallError> {
         let link = self.link(address).await?;
-        let frame = Frame { call: 0, body: Some(Body::Beat(beat)) };
+        let frame = Frame { call: 0, body: Some(Body::Heartbeat(beat)) };
         // A beat must not wait behind a stuck connection.
         link.frames.try_send(frame).map_err(|_full| not_sent(address))?;
         link.told();
@@ -173,8 +173,8 @@
         };
         let me = &self.settings.me;
         let mac = self.settings.key.prove(&challenge.nonce, me);
-        let proof = Proof { box_id: me.to_string(), mac };
-        framing.send(Frame { call: 0, body: Some(Body::Proof(proof)) }).await.ok()?;
+        let proof = ChallengeResponse { box_id: me.to_string(), mac };
+        framing.send(Frame { call: 0, body: Some(Body::ChallengeResponse(proof)) }).await.ok()?;
         Some(framing)
     }
 
--- a/crates/links/src/server.rs
+++ b/crates/links/src/server.rs
@@ -14,10 +14,10 @@
 use tokio_util::codec::Framed;
 use tokio_util::sync::CancellationToken;
 use wire::peer::frame::Body;
-use wire::peer::{Beat, Challenge, Frame, Pong, Request};
+use wire::peer::{BoxHeartbeat, Challenge, Frame, Pong, Request};
 use wire::{DeploymentKey, FrameCodec};
 
-use crate::AnswerSink;
+use crate::ResponseSink;
 use crate::pool::write_frames;
 use crate::pulse::{CALLER_REST, CALLER_SILENCE};
 
@@ -36,12 +36,12 @@
     fn request(
         &self,
         request: Request,
-        sink: AnswerSink,
+        sink: ResponseSink,
         cancel: CancellationToken,
     ) -> impl Future<Output = ()> + Send;
 
     /// Takes a heartbeat.
-    fn beat(&self, beat: Beat) -> impl Future<Output = ()> + Send;
+    fn beat(&self, beat: BoxHeartbeat) -> impl Future<Output = ()> + Send;
 }
 
 /// Accepts connections until `stop` is cancelled.
@@ -115,7 +115,7 @@
         };
         match frame.body {
             Some(Body::Request(request)) => {
-                let sink = AnswerSink::new(frame.call, frames.clone());
+                let sink = ResponseSink::new(frame.call, frames.clone());
                 calls.start(frame.call, request, sink, &handler, &closed);
             }
             Some(Body::Cancel(_)) => calls.cancel(frame.call),
@@ -123,7 +123,7 @@
                 // A full queue holds frames that show the life of this link as well.
                 let _unsent = frames.try_send(Frame { call: 0, body: Some(Body::Pong(Pong {})) });
             }
-            Some(Body::Beat(beat)) => handler.beat(beat).await,
+            Some(Body::Heartbeat(beat)) => handler.beat(beat).await,
             _ => log::warn!(target: "links", peer:% = peer; "frame out of place, skipped"),
         }
     }
@@ -140,7 +140,7 @@
     let challenge = Body::Challenge(Challenge { nonce: nonce.clone() });
     framing.send(Frame { call: 0, body: Some(challenge) }).await.ok()?;
     let answer = framing.next().await?.ok()?;
-    let Some(Body::Proof(proof)) = answer.body else {
+    let Some(Body::ChallengeResponse(proof)) = answer.body else {
         return None;
     };
     let peer: BoxId = proof.box_id.parse().ok()?;
@@ -156,7 +156,7 @@
         &self,
         call: u64,
         request: Request,
-        sink: AnswerSink,
+        sink: ResponseSink,
         handler: &impl PeerHandler,
         closed: &CancellationToken,
     ) {
--- a/crates/links/src/shard.rs
+++ b/crates/links/src/shard.rs
@@ -3,9 +3,11 @@
 use std::time::Duration;
 
 use ids::whole_millis;
-use wire::peer::{Request, ShardAnswer, ShardRequest, item, request, shard_answer, shard_request};
+use wire::peer::{
+    Request, ShardRequest, ShardResponse, request, response_item, shard_request, shard_response,
+};
 
-use crate::{AnswerStream, CallError, LinkPool};
+use crate::{CallError, LinkPool, ResponseStream};
 
 impl LinkPool {
     /// Sends a question to a keeping box; `request_id` is what it is about, for the logs.
@@ -15,7 +17,7 @@
         request_id: &str,
         time: Duration,
         body: shard_request::Body,
-    ) -> Result<AnswerStream, CallError> {
+    ) -> Result<ResponseStream, CallError> {
         let request = Request {
             request_id: request_id.to_owned(),
             traceparent: String::new(),
@@ -27,12 +29,12 @@
 
     /// Asks a keeping box for its one answer, within `time`. When the connection is lost under the
     /// question, it is asked again on a new one, if asking twice does no harm.
-    pub async fn ask_shard(
+    pub async fn call_shard_unary(
         &self,
         address: &str,
         time: Duration,
         body: shard_request::Body,
-    ) -> Result<shard_answer::Body, CallError> {
+    ) -> Result<shard_response::Body, CallError> {
         let asked = async {
             let again = may_repeat(&body).then(|| body.clone());
             let answer = self.ask_once(address, time, body).await;
@@ -57,10 +59,10 @@
         address: &str,
         time: Duration,
         body: shard_request::Body,
-    ) -> Result<shard_answer::Body, CallError> {
+    ) -> Result<shard_response::Body, CallError> {
         let item = self.call_shard(address, "", time, body).await?.single(time).await?;
         match item.body {
-            Some(item::Body::Shard(ShardAnswer { body: Some(answer) })) => Ok(answer),
+            Some(response_item::Body::Shard(ShardResponse { body: Some(answer) })) => Ok(answer),
             _ => Err(CallError::Broken { why: "an answer of another kind" }),
         }
     }
--- a/crates/links/tests/silent_links.rs
+++ b/crates/links/tests/silent_links.rs
@@ -4,15 +4,17 @@
 use std::time::Duration;
 
 use ids::BoxId;
-use links::{AnswerEnd, AnswerSink, CallError, LinkPool, LinkSettings, PeerHandler, serve_links};
+use links::{
+    CallError, LinkPool, LinkSettings, PeerHandler, ResponseEnd, ResponseSink, serve_links,
+};
 use standins::proxy::{FaultProxy, LinkFaults};
 use tokio::net::TcpListener;
 use tokio::time;
 use tokio_util::sync::CancellationToken;
 use wire::DeploymentKey;
 use wire::peer::{
-    Beat, Item, PlainPart, Request, ServedAsk, ShardAnswer, ShardBeat, item, shard_answer,
-    shard_request,
+    BoxHeartbeat, PlainPart, Request, ResponseItem, ServedQuery, ShardHeartbeat, ShardResponse,
+    response_item, shard_request, shard_response,
 };
 
 /// Longer than any answer takes; a test that reaches it has failed.
@@ -30,22 +32,24 @@
 struct QuickHandler;
 
 impl PeerHandler for QuickHandler {
-    async fn request(&self, request: Request, mut sink: AnswerSink, cancel: CancellationToken) {
+    async fn request(&self, request: Request, mut sink: ResponseSink, cancel: CancellationToken) {
         if request.request_id == "wait" {
             cancel.cancelled().await;
             return;
         }
         let body = match request.body {
-            Some(wire::peer::request::Body::Shard(_)) => item::Body::Shard(ShardAnswer {
-                body: Some(shard_answer::Body::Beat(ShardBeat::default())),
-            }),
-            _ => item::Body::PlainPart(PlainPart { status: 200, ..PlainPart::default() }),
+            Some(wire::peer::request::Body::Shard(_)) => {
+                response_item::Body::Shard(ShardResponse {
+                    body: Some(shard_response::Body::Heartbeat(ShardHeartbeat::default())),
+                })
+            }
+            _ => response_item::Body::PlainPart(PlainPart { status: 200, ..PlainPart::default() }),
         };
-        sink.item(Item { body: Some(body) }).await;
-        sink.end(AnswerEnd::default()).await;
+        sink.item(ResponseItem { body: Some(body) }).await;
+        sink.end(ResponseEnd::default()).await;
     }
 
-    async fn beat(&self, _: Beat) {}
+    async fn beat(&self, _: BoxHeartbeat) {}
 }
 
 /// A proxy before a box that answers.
@@ -59,14 +63,14 @@
     proxy
 }
 
-async fn call(pool: &LinkPool, proxy: &FaultProxy, id: &str) -> Result<Item, CallError> {
+async fn call(pool: &LinkPool, proxy: &FaultProxy, id: &str) -> Result<ResponseItem, CallError> {
     let request = Request { request_id: id.to_owned(), ..Request::default() };
     pool.call(&proxy.address.to_string(), request).await?.single(LONG).await
 }
 
-async fn ask(pool: &LinkPool, proxy: &FaultProxy) -> Result<shard_answer::Body, CallError> {
-    let body = shard_request::Body::Served(ServedAsk::default());
-    pool.ask_shard(&proxy.address.to_string(), LONG, body).await
+async fn ask(pool: &LinkPool, proxy: &FaultProxy) -> Result<shard_response::Body, CallError> {
+    let body = shard_request::Body::Served(ServedQuery::default());
+    pool.call_shard_unary(&proxy.address.to_string(), LONG, body).await
 }
 
 /// Which way a connection falls silent.
@@ -114,7 +118,7 @@
         ask(&pool, &proxy).await.expect("answered");
         proxy.change(silence);
         let answer = time::timeout(LONG, ask(&pool, &proxy)).await.expect("in time");
-        assert!(matches!(answer, Ok(shard_answer::Body::Beat(_))), "{answer:?}");
+        assert!(matches!(answer, Ok(shard_response::Body::Heartbeat(_))), "{answer:?}");
     }
 }
 
--- a/crates/links/tests/whole_answers.rs
+++ b/crates/links/tests/whole_answers.rs
@@ -5,13 +5,18 @@
 
 use futures::{SinkExt, StreamExt};
 use ids::BoxId;
-use links::{AnswerEnd, AnswerSink, CallError, LinkPool, LinkSettings, PeerHandler, serve_links};
+use links::{
+    CallError, LinkPool, LinkSettings, PeerHandler, ResponseEnd, ResponseSink, serve_links,
+};
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::codec::Framed;
 use tokio_util::sync::CancellationToken;
 use wire::peer::frame::Body;
-use wire::peer::{Beat, Challenge, Frame, Item, PlainPart, Refused, RefusedKind, Request, item};
-use wire::{AnswerTally, DeploymentKey, FrameCodec};
+use wire::peer::{
+    BoxHeartbeat, Challenge, Frame, PlainPart, Refused, RefusedKind, Request, ResponseItem,
+    response_item,
+};
+use wire::{DeploymentKey, FrameCodec, ResponseChecksum};
 
 /// Longer than any answer takes; a test that reaches it has failed.
 const SILENCE: Duration = Duration::from_secs(20);
@@ -29,15 +34,17 @@
     Request { request_id: id.to_owned(), ..Request::default() }
 }
 
-fn part(text: &str) -> Item {
+fn part(text: &str) -> ResponseItem {
     let body = text.as_bytes().to_vec().into();
     let part = PlainPart { status: 200, content_type: String::new(), body };
-    Item { body: Some(item::Body::PlainPart(part)) }
+    ResponseItem { body: Some(response_item::Body::PlainPart(part)) }
 }
 
-fn text(item: &Item) -> String {
+fn text(item: &ResponseItem) -> String {
     match &item.body {
-        Some(item::Body::PlainPart(part)) => String::from_utf8_lossy(&part.body).into_owned(),
+        Some(response_item::Body::PlainPart(part)) => {
+            String::from_utf8_lossy(&part.body).into_owned()
+        }
         _ => String::new(),
     }
 }
@@ -47,7 +54,7 @@
 struct EchoHandler;
 
 impl PeerHandler for EchoHandler {
-    async fn request(&self, request: Request, mut sink: AnswerSink, cancel: CancellationToken) {
+    async fn request(&self, request: Request, mut sink: ResponseSink, cancel: CancellationToken) {
         match request.request_id.as_str() {
             "refuse" => {
                 let kind = RefusedKind::NotRun.into();
@@ -60,12 +67,12 @@
                     tokio::task::yield_now().await;
                     sink.item(part(&format!("{id}.{piece}"))).await;
                 }
-                sink.end(AnswerEnd { tokens: 3, text_digest: 7 }).await;
+                sink.end(ResponseEnd { tokens: 3, text_digest: 7 }).await;
             }
         }
     }
 
-    async fn beat(&self, _: Beat) {}
+    async fn beat(&self, _: BoxHeartbeat) {}
 }
 
 async fn echo_server() -> SocketAddr {
@@ -90,7 +97,7 @@
                 came.push(text(&item));
             }
             assert_eq!(came, (0..3).map(|piece| format!("{id}.{piece}")).collect::<Vec<_>>());
-            assert_eq!(stream.end(), Some(AnswerEnd { tokens: 3, text_digest: 7 }));
+            assert_eq!(stream.end(), Some(ResponseEnd { tokens: 3, text_digest: 7 }));
         })
     });
     for call in calls.collect::<Vec<_>>() {
@@ -104,7 +111,7 @@
     let mut stream =
         pool("the-right-key-123").call(&address, request("refuse")).await.expect("sent");
     let error = stream.next(SILENCE).await.expect_err("refused");
-    assert!(matches!(&error, CallError::Refused(_)) && error.surely_not_run());
+    assert!(matches!(&error, CallError::Refused(_)) && error.definitely_not_run());
 }
 
 #[tokio::test]
@@ -124,7 +131,7 @@
     let address = listener.local_addr().expect("it is bound").to_string();
     drop(listener);
     let error = pool("the-right-key-123").call(&address, request("r")).await.expect_err("nobody");
-    assert!(matches!(&error, CallError::NotSent { .. }) && error.surely_not_run());
+    assert!(matches!(&error, CallError::NotSent { .. }) && error.definitely_not_run());
 }
 
 /// A peer that shows the protocol and then answers its first call with these frames.
@@ -164,7 +171,7 @@
 }
 
 fn end_frame(call: u64, texts: &[&str]) -> Frame {
-    let mut tally = AnswerTally::default();
+    let mut tally = ResponseChecksum::default();
     for text in texts {
         tally.count(&part(text));
     }
@@ -172,7 +179,7 @@
 }
 
 fn is_broken(answer: &Result<Vec<String>, CallError>) -> bool {
-    matches!(answer, Err(error @ (CallError::Broken { .. } | CallError::LinkLost)) if !error.surely_not_run())
+    matches!(answer, Err(error @ (CallError::Broken { .. } | CallError::LinkLost)) if !error.definitely_not_run())
 }
 
 #[tokio::test]
@@ -230,21 +237,21 @@
         }
         assert!(streams.len() < 2_000, "everything was queued");
     };
-    assert!(refused.surely_not_run(), "{refused}");
+    assert!(refused.definitely_not_run(), "{refused}");
     frozen.abort();
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_silent_peer_is_left_after_the_silence_allowed() {
     // The paused clock jumps ahead whenever nothing else can happen.
-    let (_sink, mut stream, _cancel) = links::AnswerStream::local();
+    let (_sink, mut stream, _cancel) = links::ResponseStream::local();
     let error = stream.next(Duration::from_secs(3)).await.expect_err("silence");
     assert_eq!(error, CallError::Broken { why: "silence" });
 }
 
 #[tokio::test]
 async fn a_caller_that_goes_away_cancels_its_call() {
-    let (sink, stream, cancel) = links::AnswerStream::local();
+    let (sink, stream, cancel) = links::ResponseStream::local();
     drop(stream);
     assert!(cancel.is_cancelled());
     drop(sink);
--- a/crates/node/src/choice.rs
+++ b/crates/node/src/choice.rs
@@ -4,13 +4,13 @@
 
 use ids::{InstanceId, WorkDigest};
 use rand::Rng;
-use routing::{ChoiceNeed, Route};
+use routing::{Route, TargetRequirements};
 
-use crate::{NodeView, RunningSlot, WorkGate};
+use crate::{NodeView, SlotGuard, WorkAdmission};
 
 /// What a request needs of the choice.
 #[derive(Debug)]
-pub struct WorkNeed<'a> {
+pub struct WorkRequirements<'a> {
     /// Its work.
     pub work: WorkDigest,
     /// Targets that were tried.
@@ -18,32 +18,36 @@
     /// Whether one of these is better than none.
     pub again: bool,
     /// Whether nobody waits for this one call.
-    pub may_wait: bool,
+    pub is_background: bool,
 }
 
 /// Where a request goes next.
 #[derive(Debug)]
 pub enum TargetChoice {
     /// To this target, where its place is taken.
-    Target(RunningSlot),
+    Target(SlotGuard),
     /// No target takes it now.
     None,
     /// Nowhere: it ends the targets that run it.
-    Condemned,
+    Quarantined,
 }
 
 /// Chooses a target of the route's service.
-pub fn choose_target(view: &Arc<NodeView>, route: &Route, need: &WorkNeed<'_>) -> TargetChoice {
+pub fn choose_target(
+    view: &Arc<NodeView>,
+    route: &Route,
+    need: &WorkRequirements<'_>,
+) -> TargetChoice {
     let mut rng = rand::rng();
     let Some(service) = route.service(rng.random()) else { return TargetChoice::None };
-    let WorkGate::Open(barred) = view.gate(need.work, service, need.may_wait) else {
-        return TargetChoice::Condemned;
+    let WorkAdmission::Open(barred) = view.gate(need.work, service, need.is_background) else {
+        return TargetChoice::Quarantined;
     };
     let company = view.suspects().company(need.work);
     let now = view.now();
     let mut board = view.board();
     let mut among = |avoid: &[InstanceId]| {
-        let need = ChoiceNeed { avoid, ..ChoiceNeed::default() };
+        let need = TargetRequirements { avoid, ..TargetRequirements::default() };
         board.choose(now, service, &need, &mut rng)
     };
     // Rather beside other work under suspicion than nowhere new, and rather the same target again than none.
@@ -58,6 +62,6 @@
     }
     drop(board);
     slot.map_or(TargetChoice::None, |slot| {
-        TargetChoice::Target(RunningSlot::new(view, need.work, slot))
+        TargetChoice::Target(SlotGuard::new(view, need.work, slot))
     })
 }
--- a/crates/node/src/duties.rs
+++ b/crates/node/src/duties.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use ids::{BoxId, Moment, ShardIndex};
-use joblog::{CopyHolder, ShardLayout, ShardPlan, boxes_at_work};
+use joblog::{ShardLayout, ShardPlan, StorageBox, active_boxes};
 use platform::{Changed, Listing, Stored};
 
 use crate::NodeView;
@@ -29,7 +29,7 @@
 
 /// A plan as read.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct PlanSighting {
+pub struct ObservedPlan {
     /// Its revision, for a conditional write.
     pub revision: u64,
     /// The plan.
@@ -40,33 +40,33 @@
 
 /// What the store tells of duties.
 #[derive(Debug, Default)]
-pub struct DutyBoard {
-    boxes: BTreeMap<BoxId, CopyHolder>,
-    plans: HashMap<ShardIndex, PlanSighting>,
+pub struct AssignmentTable {
+    boxes: BTreeMap<BoxId, StorageBox>,
+    plans: HashMap<ShardIndex, ObservedPlan>,
     /// Into how many shards jobs are divided, if the boxes have agreed on it.
     layout: Option<ShardLayout>,
     /// Whether the store has been read at all.
     read: bool,
 }
 
-impl DutyBoard {
+impl AssignmentTable {
     /// Boxes with a disk, whether they live or not.
-    pub fn boxes(&self) -> impl Iterator<Item = &CopyHolder> {
+    pub fn boxes(&self) -> impl Iterator<Item = &StorageBox> {
         self.boxes.values()
     }
 
     /// Those of them that are at work: the others stand by and are not heard.
-    pub fn at_work(&self) -> Vec<&CopyHolder> {
-        boxes_at_work(self.boxes(), |copy| self.has_duty(&copy.box_id))
+    pub fn at_work(&self) -> Vec<&StorageBox> {
+        active_boxes(self.boxes(), |copy| self.has_duty(&copy.box_id))
     }
 
     /// A shard's plan.
-    pub fn plan(&self, shard: ShardIndex) -> Option<&PlanSighting> {
+    pub fn plan(&self, shard: ShardIndex) -> Option<&ObservedPlan> {
         self.plans.get(&shard)
     }
 
     /// The boxes that serve a shard, by the plans in force; one that serves several is named once for each.
-    pub fn servers(&self) -> impl Iterator<Item = &CopyHolder> {
+    pub fn servers(&self) -> impl Iterator<Item = &StorageBox> {
         self.plans.values().filter_map(|sighting| sighting.plan.server())
     }
 
@@ -91,7 +91,7 @@
     }
 
     /// Takes a plan unless a later one is known.
-    pub fn put_plan(&mut self, shard: ShardIndex, mut sighting: PlanSighting) {
+    pub fn put_plan(&mut self, shard: ShardIndex, mut sighting: ObservedPlan) {
         let known = self.plans.get(&shard);
         if known.is_some_and(|known| known.revision > sighting.revision) {
             return;
@@ -117,7 +117,7 @@
             match stored.parse() {
                 Ok(plan) => {
                     let revision = stored.revision;
-                    self.put_plan(shard, PlanSighting { revision, plan, seen_at: now });
+                    self.put_plan(shard, ObservedPlan { revision, plan, seen_at: now });
                 }
                 Err(error) => log::warn!(target: "shard", error:% = error; "plan refused"),
             }
@@ -127,7 +127,7 @@
                 Err(error) => log::warn!(target: "shard", error:% = error; "layout refused"),
             }
         } else if stored.name.starts_with(BOX_PREFIX) {
-            match stored.parse::<CopyHolder>() {
+            match stored.parse::<StorageBox>() {
                 Ok(copy) => {
                     self.boxes.insert(copy.box_id.clone(), copy);
                 }
@@ -145,9 +145,9 @@
 
 /// Keeps the duties.
 #[derive(Debug)]
-pub struct DutySink(pub Arc<NodeView>);
+pub struct AssignmentSink(pub Arc<NodeView>);
 
-impl KindSink for DutySink {
+impl KindSink for AssignmentSink {
     fn listed(&mut self, listing: &Listing) {
         let now = self.0.now();
         let mut duties = self.0.duties();
--- a/crates/node/src/ends.rs
+++ b/crates/node/src/ends.rs
@@ -2,29 +2,29 @@
 
 use std::sync::Arc;
 
-use ids::{TargetLife, WorkDigest};
-use routing::TargetSlot;
-use suspects::WorkEnd;
+use ids::{TargetIncarnation, WorkDigest};
+use routing::ChosenTarget;
+use suspects::TargetCrash;
 use upstream::PortState;
 
 use crate::NodeView;
 
 /// Notes that a target broke `work` off. Where nobody has looked yet whether it has ended, that is done beside the
 /// caller's next try, which does not wait for it.
-pub fn note_break(view: &Arc<NodeView>, slot: &TargetSlot, work: WorkDigest) {
+pub fn record_disconnect(view: &Arc<NodeView>, slot: &ChosenTarget, work: WorkDigest) {
     // A target that leaves or has lapsed ends for a reason of its own.
     if !view.board().stays(&slot.instance) {
         return;
     }
     let life = slot.life();
-    let end = WorkEnd { life: life.clone(), software: slot.software.clone() };
+    let end = TargetCrash { life: life.clone(), software: slot.software.clone() };
     if view.suspects().broke(view.now(), work, &slot.service, end) {
         tokio::spawn(look(Arc::clone(view), slot.clone(), life, work));
     }
 }
 
 /// Looks whether anything listens where a target was.
-async fn look(view: Arc<NodeView>, slot: TargetSlot, life: TargetLife, work: WorkDigest) {
+async fn look(view: Arc<NodeView>, slot: ChosenTarget, life: TargetIncarnation, work: WorkDigest) {
     let state = view.pool.look(slot.address).await;
     let outcome = match state {
         PortState::Refuses => "ended",
--- a/crates/node/src/feed/client.rs
+++ b/crates/node/src/feed/client.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use ids::{BoxId, Incarnation, ServiceName, whole_millis};
-use joblog::CopyHolder;
+use joblog::StorageBox;
 use links::LinkPool;
 use platform::{Changed, Changes, Kind, Listing, Stored};
 use tokio::sync::{mpsc, watch};
@@ -13,10 +13,10 @@
 use tokio_util::sync::CancellationToken;
 use usage::{TableVersion, UnixTime};
 use wire::peer::{
-    FeedCursor, FeedKind, FeedPage, FeedRead, ServiceChoice, shard_answer, shard_request,
+    FeedCursor, FeedKind, FeedPage, FeedRead, ServiceSelection, shard_request, shard_response,
 };
 
-use super::{FEED_WAIT, HeardProof, kind_of, number_of};
+use super::{FEED_WAIT, FreshnessProof, kind_of, number_of};
 use crate::NodeView;
 
 /// Room for an answer beyond the wait that was asked for.
@@ -79,7 +79,7 @@
     }
 }
 
-fn tell_lost(view: &NodeView, proof: &HeardProof) {
+fn tell_lost(view: &NodeView, proof: &FreshnessProof) {
     let age_ms = whole_millis(proof.proven_at.elapsed());
     log::warn!(
         target: "node", dependency = "feed", peer:% = proof.teller, age_ms = age_ms,
@@ -113,7 +113,8 @@
                 continue;
             };
             let asked_at = Instant::now();
-            let wait = if self.view.feed.trust().is_fed() { FEED_WAIT } else { Duration::ZERO };
+            let wait =
+                if self.view.feed.trust().is_served_by_feed() { FEED_WAIT } else { Duration::ZERO };
             if let Some((page, services)) = self.ask(&teller, wait).await {
                 self.view.feed.trust().note_answer();
                 let no_news = page.kinds.is_empty();
@@ -145,7 +146,7 @@
     }
 
     /// The box to ask: the same for all boxes of the domain, as long as it tells.
-    fn teller(&self) -> Option<CopyHolder> {
+    fn teller(&self) -> Option<StorageBox> {
         let me = &self.view.settings.box_id;
         // A box that keeps data is told by those before it only; the first one asks the store.
         let mut before = self.ranked().into_iter().take_while(|copy| copy.box_id != *me);
@@ -155,10 +156,10 @@
     }
 
     /// The boxes of this domain that keep data, in the order in which they are asked.
-    fn ranked(&self) -> Vec<CopyHolder> {
+    fn ranked(&self) -> Vec<StorageBox> {
         let duties = self.view.duties();
         let domain = &self.view.settings.domain;
-        let here: Vec<&CopyHolder> = duties.boxes().filter(|copy| copy.domain == *domain).collect();
+        let here: Vec<&StorageBox> = duties.boxes().filter(|copy| copy.domain == *domain).collect();
         let ids = here.iter().map(|copy| &copy.box_id);
         let ranked = coord::rendezvous::ranked(domain.as_str(), ids, here.len()).into_iter();
         let found = ranked.filter_map(|box_id| here.iter().find(|copy| copy.box_id == *box_id));
@@ -167,7 +168,7 @@
 
     async fn ask(
         &self,
-        teller: &CopyHolder,
+        teller: &StorageBox,
         wait: Duration,
     ) -> Option<(FeedPage, Option<ToldServices>)> {
         let wanted = self.view.wanted_services();
@@ -178,7 +179,7 @@
             let revision = if anew && fed.kind == Kind::Targets { 0 } else { revision };
             Some(FeedCursor { kind: number_of(fed.kind)?, revision })
         });
-        let services = wanted.as_ref().map(|wanted| ServiceChoice {
+        let services = wanted.as_ref().map(|wanted| ServiceSelection {
             names: wanted.iter().map(ToString::to_string).collect(),
         });
         let (usage, version) = self.view.usage.untold(&teller.box_id);
@@ -190,10 +191,10 @@
         };
         let time = wait + ANSWER_SLACK;
         let body = shard_request::Body::Feed(read);
-        match self.links.ask_shard(&teller.address, time, body).await {
-            Ok(shard_answer::Body::Feed(page)) => {
+        match self.links.call_shard_unary(&teller.address, time, body).await {
+            Ok(shard_response::Body::Feed(page)) => {
                 self.heard_counts(teller, version, &page);
-                let whole = |told: &FeedKind| told.whole && self.takes_targets(told);
+                let whole = |told: &FeedKind| told.full && self.takes_targets(told);
                 let told = !anew || page.kinds.iter().any(whole);
                 Some((page, told.then_some(wanted)))
             }
@@ -213,9 +214,9 @@
     }
 
     /// Notes that another box has heard this one's counts, and takes true time from it.
-    fn heard_counts(&self, peer: &CopyHolder, version: TableVersion, page: &FeedPage) {
+    fn heard_counts(&self, peer: &StorageBox, version: TableVersion, page: &FeedPage) {
         let usage = &self.view.usage;
-        usage.note_told(&peer.box_id, Incarnation::new(page.life), version);
+        usage.note_told(&peer.box_id, Incarnation::new(page.incarnation), version);
         if page.true_ms > 0 {
             usage.follow_time(self.view.now(), UnixTime::new(page.true_ms));
         }
@@ -234,8 +235,8 @@
         self.counts_told_at = Some(Instant::now());
         let read = FeedRead { usage, ..FeedRead::default() };
         let body = shard_request::Body::Feed(read);
-        let told = self.links.ask_shard(&peer.address, ANSWER_SLACK, body).await;
-        if let Ok(shard_answer::Body::Feed(page)) = told {
+        let told = self.links.call_shard_unary(&peer.address, ANSWER_SLACK, body).await;
+        if let Ok(shard_response::Body::Feed(page)) = told {
             self.heard_counts(&peer, version, &page);
         } else {
             log::debug!(target: "usage", peer:% = peer.box_id; "counts not told");
@@ -244,13 +245,13 @@
     }
 
     /// A box that keeps data in another domain; none for a box that keeps data itself, which tells all others.
-    fn peer_elsewhere(&self) -> Option<CopyHolder> {
+    fn peer_elsewhere(&self) -> Option<StorageBox> {
         let settings = &self.view.settings;
         let duties = self.view.duties();
         if duties.boxes().any(|copy| copy.box_id == settings.box_id) {
             return None;
         }
-        let others: Vec<&CopyHolder> = duties
+        let others: Vec<&StorageBox> = duties
             .boxes()
             .filter(|copy| copy.domain != settings.domain)
             .filter(|copy| {
@@ -264,7 +265,7 @@
     }
 
     /// Takes what was told. `true` when it is fresh enough to do without the store.
-    async fn take(&mut self, teller: &CopyHolder, asked_at: Instant, page: FeedPage) -> bool {
+    async fn take(&mut self, teller: &StorageBox, asked_at: Instant, page: FeedPage) -> bool {
         let held = Duration::from_millis(u64::from(page.held_ms));
         let age = Duration::from_millis(u64::from(page.age_ms));
         // Whatever the answer took on its way counts as age.
@@ -274,7 +275,7 @@
         }
         let all_known = self.kinds.iter().all(|fed| *fed.revision.borrow() > 0);
         let proof =
-            proven_at.map(|proven_at| HeardProof { teller: teller.box_id.clone(), proven_at });
+            proven_at.map(|proven_at| FreshnessProof { teller: teller.box_id.clone(), proven_at });
         let trust = self.view.feed.trust();
         let proof = proof.filter(|proof| all_known && trust.is_fresh(proof));
         let Some(proof) = proof else { return false };
@@ -294,7 +295,7 @@
         let Some(fed) = fed else { return };
         let known = *fed.revision.borrow();
         // All objects of the same revision are news where some were left out before.
-        if told.revision < known || (told.revision == known && !told.whole) {
+        if told.revision < known || (told.revision == known && !told.full) {
             return;
         }
         let mut objects = Vec::with_capacity(told.objects.len());
@@ -310,7 +311,7 @@
             }
         }
         let revision = told.revision;
-        let news = if told.whole {
+        let news = if told.full {
             FedNews::Listed(Listing { objects, revision })
         } else {
             let removed = told.removed.into_iter().map(Changed::Removed);
--- a/crates/node/src/feed/mod.rs
+++ b/crates/node/src/feed/mod.rs
@@ -21,8 +21,8 @@
 pub(crate) use client::FedNews;
 pub use client::{FedKind, follow_feed};
 pub use serve::serve_feed;
-pub use times::NewsTimes;
-pub use trust::{FeedTrust, HeardProof};
+pub use times::FeedTimes;
+pub use trust::{FeedFreshness, FreshnessProof};
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -63,13 +63,13 @@
 
 /// What a box holds to tell others, and whether it is told itself.
 #[derive(Debug)]
-pub struct FeedBoard {
+pub struct FeedState {
     caches: Mutex<HashMap<Kind, KindCache>>,
     /// When the store last answered this box itself about a kind.
     proven_at: Mutex<HashMap<Kind, Moment>>,
     /// Whether another box tells this one.
-    trust: FeedTrust,
-    times: NewsTimes,
+    trust: FeedFreshness,
+    times: FeedTimes,
     changed: watch::Sender<u64>,
     /// This box tells nobody.
     only_listens: AtomicBool,
@@ -79,13 +79,13 @@
     wanted: watch::Sender<u64>,
 }
 
-impl FeedBoard {
+impl FeedState {
     /// A board that has heard nothing.
-    pub fn new(times: NewsTimes) -> Self {
+    pub fn new(times: FeedTimes) -> Self {
         Self {
             caches: Mutex::default(),
             proven_at: Mutex::default(),
-            trust: FeedTrust::new(times.hear),
+            trust: FeedFreshness::new(times.hear),
             times,
             changed: watch::Sender::new(0),
             only_listens: AtomicBool::new(false),
@@ -95,7 +95,7 @@
     }
 
     /// How old news may be.
-    pub const fn times(&self) -> NewsTimes {
+    pub const fn times(&self) -> FeedTimes {
         self.times
     }
 
@@ -105,7 +105,7 @@
 
     /// Holds nothing from here on, and hears only of targets that this box sends to: it only listens, and its memory
     /// is small.
-    pub fn only_listen(&self) {
+    pub fn set_receive_only(&self) {
         self.only_listens.store(true, Ordering::Relaxed);
         self.know_services(Some(BTreeSet::new()));
     }
@@ -180,7 +180,7 @@
     }
 
     /// Whether another box tells this one, so that its own watches rest.
-    pub const fn trust(&self) -> &FeedTrust {
+    pub const fn trust(&self) -> &FeedFreshness {
         &self.trust
     }
 }
--- a/crates/node/src/feed/times.rs
+++ b/crates/node/src/feed/times.rs
@@ -15,7 +15,7 @@
 
 /// The times that follow from how soon a change that binds callers must be heeded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NewsTimes {
+pub struct FeedTimes {
     /// A box asks the store for itself when the last proof it heard of is older than this.
     pub hear: Duration,
     /// A box whose oldest proof is older than this does not wait for news.
@@ -25,7 +25,7 @@
     pub proof: WatchTime,
 }
 
-impl NewsTimes {
+impl FeedTimes {
     /// The times where changes must be heeded within `bound` of the store's acknowledgement.
     pub fn for_bound(bound: Duration) -> Self {
         let hear = bound.max(LEAST_BOUND).saturating_sub(WAY);
--- a/crates/node/src/feed/trust.rs
+++ b/crates/node/src/feed/trust.rs
@@ -14,7 +14,7 @@
 
 /// What was heard of another box's reach to the store.
 #[derive(Debug, Clone)]
-pub struct HeardProof {
+pub struct FreshnessProof {
     /// Who told.
     pub teller: BoxId,
     /// When that box last knew to be current what binds callers.
@@ -23,10 +23,10 @@
 
 /// Whether a box is told by another one, so that its own watches rest.
 #[derive(Debug)]
-pub struct FeedTrust {
+pub struct FeedFreshness {
     /// How old a proof may be.
     hear: Duration,
-    heard: watch::Sender<Option<HeardProof>>,
+    heard: watch::Sender<Option<FreshnessProof>>,
     fed: watch::Sender<bool>,
     /// Whether it is known that nobody tells this box.
     nobody: watch::Sender<bool>,
@@ -34,7 +34,7 @@
     answered_at: watch::Sender<Option<Instant>>,
 }
 
-impl FeedTrust {
+impl FeedFreshness {
     /// No trust yet; a proof is good for `hear`.
     pub fn new(hear: Duration) -> Self {
         Self {
@@ -47,12 +47,12 @@
     }
 
     /// Whether a proof is young enough to do without the store.
-    pub fn is_fresh(&self, proof: &HeardProof) -> bool {
+    pub fn is_fresh(&self, proof: &FreshnessProof) -> bool {
         proof.proven_at.elapsed() < self.hear
     }
 
     /// Takes a proof; `true` when the box was not told before.
-    pub fn hear(&self, proof: HeardProof) -> bool {
+    pub fn hear(&self, proof: FreshnessProof) -> bool {
         // In this order: the proof wakes whoever ends the trust, and it must be there to be ended.
         let is_new = self.set(true);
         self.heard.send_replace(Some(proof));
@@ -82,7 +82,7 @@
     }
 
     /// Whether another box tells this one.
-    pub fn is_fed(&self) -> bool {
+    pub fn is_served_by_feed(&self) -> bool {
         *self.fed.borrow()
     }
 
@@ -97,11 +97,11 @@
     }
 
     /// Ends the trust whenever the last proof gets too old; `lost` hears of each time.
-    pub async fn expire(&self, lost: impl Fn(&HeardProof)) {
+    pub async fn expire(&self, lost: impl Fn(&FreshnessProof)) {
         let mut heard = self.heard.subscribe();
         loop {
             let proof = heard.borrow_and_update().clone();
-            if let Some(proof) = proof.filter(|_| self.is_fed()) {
+            if let Some(proof) = proof.filter(|_| self.is_served_by_feed()) {
                 let stale_at = proof.proven_at + self.hear;
                 let renewed = time::timeout_at(stale_at, heard.changed()).await;
                 if renewed.is_err() && self.set(false) {
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -87,7 +87,7 @@
 
 /// Keeps one kind current.
 #[derive(Debug)]
-pub struct KindFollower<S> {
+pub struct KindWatcher<S> {
     view: Arc<NodeView>,
     kind: Kind,
     /// How long changes may gather between two watches.
@@ -102,7 +102,7 @@
     news: Option<mpsc::Receiver<FedNews>>,
 }
 
-impl<S: KindSink> KindFollower<S> {
+impl<S: KindSink> KindWatcher<S> {
     /// A follower that knows nothing yet.
     pub fn new(view: &Arc<NodeView>, kind: Kind, gather: Duration, sink: S) -> Self {
         let view = Arc::clone(view);
@@ -123,12 +123,12 @@
     }
 
     /// Lets the first listing be some seconds old, where nothing is decided by what is not in it.
-    pub fn begin_old(&mut self) {
+    pub fn allow_stale_first_list(&mut self) {
         self.first = FirstLook::ListsOld;
     }
 
     /// Lets the box hear of the store's return from another one: nobody waits for what it does then.
-    pub const fn hear_later(&mut self) {
+    pub const fn defer_recovery_probe(&mut self) {
         self.may_hear_later = true;
     }
 
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -23,18 +23,18 @@
 mod view;
 mod work;
 
-pub use choice::{TargetChoice, WorkNeed, choose_target};
+pub use choice::{TargetChoice, WorkRequirements, choose_target};
 pub use clock::ClockSource;
-pub use ends::note_break;
-pub use metrics::{NodeMetrics, StoreCall, serve_metrics, tell_counts};
-pub use plain::{PlainCall, PlainEnd, call_plain};
+pub use ends::record_disconnect;
+pub use metrics::{NodeMetrics, StoreCall, log_counters, serve_metrics};
+pub use plain::{PlainCall, PlainOutcome, call_plain};
 pub use probe::ProbePace;
 pub use settings::{
     NodeSettings, RawNodeSettings, RawStorageSettings, SettingsError, StorageSettings,
 };
-pub use slot::RunningSlot;
+pub use slot::SlotGuard;
 pub use stop::wait_for_stop;
-pub use suspects::{WorkGate, keep_suspects, suspect_object};
-pub use usage::{UsageBoard, wall_time};
+pub use suspects::{WorkAdmission, suspect_object, sync_suspects};
+pub use usage::{UsageTracker, wall_time};
 pub use view::NodeView;
 pub use work::{item_work, request_work};
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -243,7 +243,7 @@
 
 /// Tells in the log which calls this box makes to the store, while it makes any, and how many connections to
 /// targets it holds where that is many.
-pub async fn tell_counts(view: Arc<crate::NodeView>) {
+pub async fn log_counters(view: Arc<crate::NodeView>) {
     loop {
         time::sleep(TELL_EVERY).await;
         let limit = view.pool.limit();
--- a/crates/node/src/plain.rs
+++ b/crates/node/src/plain.rs
@@ -7,12 +7,14 @@
 use http::{HeaderMap, Method, Request, StatusCode, Uri};
 use http_body_util::Full;
 use ids::{CustomerName, InstanceId, WorkDigest, whole_millis};
-use platform::headers::{self, AnswerFacts};
-use routing::{Route, RouteKind, TargetFailure, TargetSlot};
+use platform::headers::{self, ResponseInfo};
+use routing::{ChosenTarget, Route, RouteKind, TargetFailure};
 use tokio::time::{self, Instant};
-use upstream::{SendError, WholeAnswer};
+use upstream::{FullResponse, SendError};
 
-use crate::{NodeView, TargetChoice, WorkNeed, choose_target, note_break, request_work};
+use crate::{
+    NodeView, TargetChoice, WorkRequirements, choose_target, record_disconnect, request_work,
+};
 
 /// Longest answer that is held whole, in bytes.
 const MOST_ANSWER: usize = 8 << 20;
@@ -45,7 +47,7 @@
     /// When the caller stops waiting, or the route's time is over.
     pub deadline: Instant,
     /// Whether nobody waits for this one call: it is made again until it is answered.
-    pub may_wait: bool,
+    pub is_background: bool,
     /// Whose request it is, for the account of use; the headers name it to the target.
     pub customer: Option<CustomerName>,
 }
@@ -58,19 +60,19 @@
 
 /// How a plain request ended.
 #[derive(Debug)]
-pub enum PlainEnd {
+pub enum PlainOutcome {
     /// A target answered, perhaps with an error of its own.
-    Answered(WholeAnswer),
+    Answered(FullResponse),
     /// No target has run it, and none will.
     NotRun(&'static str),
     /// It ends the targets that run it: none has run it this time, and none will.
-    Condemned,
+    Quarantined,
     /// It may have run.
     Unknown(&'static str),
 }
 
 enum TryEnd {
-    Answered(WholeAnswer),
+    Answered(FullResponse),
     NotRun,
     Broken,
 }
@@ -115,14 +117,19 @@
 }
 
 /// Sends a plain request. Only what may be repeated is sent again after it may have run.
-pub async fn call_plain(view: &Arc<NodeView>, call: PlainCall<'_>) -> PlainEnd {
+pub async fn call_plain(view: &Arc<NodeView>, call: PlainCall<'_>) -> PlainOutcome {
     let repeatable = call.route.kind == RouteKind::Safe;
     let work = call.work();
     let mut tried: Vec<InstanceId> = Vec::new();
     let (mut runs, mut not_run) = (0, 0);
     let mut last_answer = None;
     while runs < call.route.attempts && not_run < NOT_RUN_TRIES && Instant::now() < call.deadline {
-        let need = WorkNeed { work, tried: &tried, again: true, may_wait: call.may_wait };
+        let need = WorkRequirements {
+            work,
+            tried: &tried,
+            again: true,
+            is_background: call.is_background,
+        };
         let slot = match choose_target(view, call.route, &need) {
             TargetChoice::Target(slot) => slot,
             TargetChoice::None => {
@@ -132,8 +139,8 @@
                 continue;
             }
             // Looked at before each try: the tries before this one may have been enough.
-            TargetChoice::Condemned if runs == 0 => return condemned(view, &call, work),
-            TargetChoice::Condemned => break,
+            TargetChoice::Quarantined if runs == 0 => return condemned(view, &call, work),
+            TargetChoice::Quarantined => break,
         };
         let last = runs + 1 >= call.route.attempts || !repeatable;
         let end = try_once(view, &call, work, slot.slot(), last).await;
@@ -141,7 +148,7 @@
         drop(slot);
         match end {
             TryEnd::Answered(answer) if answer.status.is_success() || !repeatable => {
-                return PlainEnd::Answered(answer);
+                return PlainOutcome::Answered(answer);
             }
             TryEnd::Answered(answer) => {
                 runs += 1;
@@ -153,9 +160,11 @@
         }
     }
     match last_answer {
-        Some(answer) => PlainEnd::Answered(answer),
-        None if runs == 0 && Instant::now() < call.deadline => PlainEnd::NotRun("no target free"),
-        None if runs == 0 => PlainEnd::NotRun("out of time"),
+        Some(answer) => PlainOutcome::Answered(answer),
+        None if runs == 0 && Instant::now() < call.deadline => {
+            PlainOutcome::NotRun("no target free")
+        }
+        None if runs == 0 => PlainOutcome::NotRun("out of time"),
         None => give_up(view, &call, work, "targets broke off"),
     }
 }
@@ -167,29 +176,29 @@
     call: &PlainCall<'_>,
     work: WorkDigest,
     reason: &'static str,
-) -> PlainEnd {
-    if !call.may_wait {
+) -> PlainOutcome {
+    if !call.is_background {
         view.suspects().given_up(work);
     }
     view.suspects_changed();
-    PlainEnd::Unknown(reason)
+    PlainOutcome::Unknown(reason)
 }
 
-fn condemned(view: &NodeView, call: &PlainCall<'_>, work: WorkDigest) -> PlainEnd {
+fn condemned(view: &NodeView, call: &PlainCall<'_>, work: WorkDigest) -> PlainOutcome {
     view.metrics.ended("work", "condemned");
     log::info!(
         target: "targets", request = call.request_id, work:% = work, route:% = call.route.name,
         ends = view.suspects().ends(work), outcome = "condemned";
         "work turned away"
     );
-    PlainEnd::Condemned
+    PlainOutcome::Quarantined
 }
 
 async fn try_once(
     view: &Arc<NodeView>,
     call: &PlainCall<'_>,
     work: WorkDigest,
-    slot: &TargetSlot,
+    slot: &ChosenTarget,
     last: bool,
 ) -> TryEnd {
     let left = call.deadline.saturating_duration_since(Instant::now());
@@ -212,7 +221,7 @@
     };
     let (outcome, end) = match time::timeout(limit, sent).await {
         Err(_elapsed) => {
-            view.pool.forget_resting();
+            view.pool.close_idle();
             (TryOutcome::Silent, TryEnd::Broken)
         }
         Ok(Err(SendError::NotSent(_))) => (TryOutcome::NotSent, TryEnd::NotRun),
@@ -230,7 +239,7 @@
         _ => 0,
     };
     match outcome {
-        TryOutcome::Broken => note_break(view, slot, work),
+        TryOutcome::Broken => record_disconnect(view, slot, work),
         TryOutcome::OtherTarget => view.suspects().gone(view.now(), &slot.instance),
         // Whatever the answer is, the target has lived to give it.
         TryOutcome::Answered => view.suspects().succeeded(work),
@@ -250,12 +259,12 @@
 fn judge(
     view: &NodeView,
     call: &PlainCall<'_>,
-    slot: &TargetSlot,
-    answer: WholeAnswer,
+    slot: &ChosenTarget,
+    answer: FullResponse,
 ) -> (TryOutcome, TryEnd) {
-    let facts = headers::answer_facts(&answer.headers);
+    let facts = headers::response_info(&answer.headers);
     if let Some(load) = facts.load {
-        view.board().told_load(view.now(), &slot.instance, load);
+        view.board().record_load(view.now(), &slot.instance, load);
     }
     if facts.request_id.as_deref().is_some_and(|id| id != call.request_id) {
         return (TryOutcome::OtherAnswer, TryEnd::Broken);
@@ -274,17 +283,23 @@
     (TryOutcome::Answered, TryEnd::Answered(answer))
 }
 
-fn is_signed(facts: &AnswerFacts) -> bool {
+fn is_signed(facts: &ResponseInfo) -> bool {
     facts.signature.is_some()
 }
 
-fn note_try(view: &NodeView, slot: &TargetSlot, end: &TryEnd, outcome: TryOutcome, took: Duration) {
+fn note_try(
+    view: &NodeView,
+    slot: &ChosenTarget,
+    end: &TryEnd,
+    outcome: TryOutcome,
+    took: Duration,
+) {
     view.metrics.ended("target_try", outcome.word());
     let mut board = view.board();
     match end {
         TryEnd::Answered(answer) if answer.status.is_success() => {
             board.succeeded(view.now(), &slot.instance);
-            board.told_pace(&slot.instance, took);
+            board.record_unit_time(&slot.instance, took);
         }
         TryEnd::NotRun if outcome == TryOutcome::NotSent => {
             board.failed(view.now(), &slot.instance, TargetFailure::Broken);
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -146,7 +146,7 @@
     /// Length of the windows of use; `None` where nobody wants reports.
     pub usage_window: Option<WindowLength>,
     /// How soon a change that binds callers must be heeded.
-    pub news_bound: Duration,
+    pub propagation_bound: Duration,
     /// Whether the platform asks for failure domains to be emptied.
     pub evacuations: bool,
     /// How far requests to a cold target may go above what it bears.
@@ -293,7 +293,7 @@
             shards: self.shards,
             max_fds: self.max_fds,
             usage_window: window.and_then(WindowLength::new),
-            news_bound: Duration::from_millis(self.config_ms.min(self.drain_ms)),
+            propagation_bound: Duration::from_millis(self.config_ms.min(self.drain_ms)),
             evacuations,
             cold_bound,
             clock: ClockSource::Machine,
--- a/crates/node/src/sinks.rs
+++ b/crates/node/src/sinks.rs
@@ -162,7 +162,7 @@
                 }
                 if record.leaving {
                     // The word may come after its end.
-                    self.view.suspects().acquit(&record.life());
+                    self.view.suspects().clear_incarnation(&record.life());
                     self.view.suspects_changed();
                 }
                 lock(&self.missing).remove(&record.instance);
--- a/crates/node/src/slot.rs
+++ b/crates/node/src/slot.rs
@@ -3,22 +3,22 @@
 use std::sync::Arc;
 
 use ids::WorkDigest;
-use routing::TargetSlot;
+use routing::ChosenTarget;
 
 use crate::NodeView;
 
 /// A place at a target for one piece of work; it is given back when it is dropped, also when its caller leaves in the
 /// middle of it.
 #[derive(Debug)]
-pub struct RunningSlot {
+pub struct SlotGuard {
     view: Arc<NodeView>,
     work: WorkDigest,
-    slot: TargetSlot,
+    slot: ChosenTarget,
 }
 
-impl RunningSlot {
+impl SlotGuard {
     /// Takes over a slot that the board has counted.
-    pub fn new(view: &Arc<NodeView>, work: WorkDigest, slot: TargetSlot) -> Self {
+    pub fn new(view: &Arc<NodeView>, work: WorkDigest, slot: ChosenTarget) -> Self {
         view.suspects().began(work, &slot.instance);
         Self { view: Arc::clone(view), work, slot }
     }
@@ -29,12 +29,12 @@
     }
 
     /// Where the work runs.
-    pub const fn slot(&self) -> &TargetSlot {
+    pub const fn slot(&self) -> &ChosenTarget {
         &self.slot
     }
 }
 
-impl Drop for RunningSlot {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
         self.view.board().ended(&self.slot.instance);
         self.view.suspects().left(self.work, &self.slot.instance);
--- a/crates/node/src/suspects.rs
+++ b/crates/node/src/suspects.rs
@@ -36,24 +36,29 @@
 
 /// Where a piece of work may run.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum WorkGate {
+pub enum WorkAdmission {
     /// Anywhere but at these targets.
     Open(Vec<InstanceId>),
     /// Nowhere: it ends the targets of its service.
-    Condemned,
+    Quarantined,
 }
 
 impl NodeView {
-    /// Where work may run, by what is known of it now. Work that `may_wait` is not let through while other boxes may
+    /// Where work may run, by what is known of it now. Work that `is_background` is not let through while other boxes may
     /// tell what explains its ends better.
-    pub fn gate(&self, work: WorkDigest, service: &ServiceName, may_wait: bool) -> WorkGate {
-        let condemned = if may_wait {
+    pub fn gate(
+        &self,
+        work: WorkDigest,
+        service: &ServiceName,
+        is_background: bool,
+    ) -> WorkAdmission {
+        let condemned = if is_background {
             self.suspects().suspected(work, service)
         } else {
             self.suspects().condemned(self.now(), work, service)
         };
         if condemned.is_empty() {
-            return WorkGate::Open(Vec::new());
+            return WorkAdmission::Open(Vec::new());
         }
         let board = self.board();
         let (barred, free): (Vec<_>, Vec<_>) =
@@ -62,14 +67,14 @@
             drop(board);
             return self.trial(work);
         }
-        WorkGate::Open(barred.into_iter().map(|record| record.instance.clone()).collect())
+        WorkAdmission::Open(barred.into_iter().map(|record| record.instance.clone()).collect())
     }
 
     /// Whether condemned work may run once more.
-    fn trial(&self, work: WorkDigest) -> WorkGate {
-        let may_try = self.suspects().may_try(self.now(), work);
+    fn trial(&self, work: WorkDigest) -> WorkAdmission {
+        let request_trial = self.suspects().request_trial(self.now(), work);
         self.suspects_changed();
-        if may_try { WorkGate::Open(Vec::new()) } else { WorkGate::Condemned }
+        if request_trial { WorkAdmission::Open(Vec::new()) } else { WorkAdmission::Quarantined }
     }
 }
 
@@ -116,7 +121,7 @@
 
 /// Tells the others of work under suspicion and forgets what is old, until `stop`. A box that keeps data also clears
 /// away what boxes that are gone have told.
-pub async fn keep_suspects(view: Arc<NodeView>, clears_others: bool, stop: CancellationToken) {
+pub async fn sync_suspects(view: Arc<NodeView>, clears_others: bool, stop: CancellationToken) {
     loop {
         tokio::select! {
             () = view.suspects_news() => {}
@@ -149,7 +154,7 @@
         };
         if lives && view.store_state().up && view.entry_grace().is_zero() {
             log::info!(target: "targets", target:% = life; "target had not ended");
-            view.suspects().acquit(&life);
+            view.suspects().clear_incarnation(&life);
             view.suspects_changed();
         }
     }
--- a/crates/node/src/usage.rs
+++ b/crates/node/src/usage.rs
@@ -5,7 +5,7 @@
 
 use ids::{BoxId, CustomerName, Incarnation, Moment};
 use usage::{
-    CountSource, TableVersion, TrueClock, UnixTime, UsageCount, UsageTable, UsageWindow,
+    ClusterClock, CountSource, TableVersion, UnixTime, UsageCount, UsageTable, UsageWindow,
     WindowLength,
 };
 use wire::peer::UsageCell;
@@ -29,11 +29,11 @@
 
 /// Counts of use at one box.
 #[derive(Debug)]
-pub struct UsageBoard {
+pub struct UsageTracker {
     /// None where nobody wants reports.
     length: Option<WindowLength>,
     source: CountSource,
-    clock: Mutex<TrueClock>,
+    clock: Mutex<ClusterClock>,
     table: Mutex<UsageTable>,
     told: Mutex<Option<ToldCounts>>,
 }
@@ -42,7 +42,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl UsageBoard {
+impl UsageTracker {
     /// A board of a box that begins its life now; it counts where windows have a length.
     pub fn new(box_id: BoxId, length: Option<WindowLength>) -> Self {
         // A later life has a larger number, unless the time of day steps back at just that time: then its
@@ -78,7 +78,7 @@
     }
 
     /// Takes what a box, this one included, reads as its time of day.
-    pub fn hear_time(&self, now: Moment, from: &BoxId, time: UnixTime) {
+    pub fn record_peer_time(&self, now: Moment, from: &BoxId, time: UnixTime) {
         lock(&self.clock).hear(now, from, time);
     }
 
@@ -146,7 +146,7 @@
     }
 
     /// Whether all that this box counted has been told to some other box.
-    pub fn is_told(&self) -> bool {
+    pub fn is_fully_reported(&self) -> bool {
         let version = lock(&self.table).version();
         version == TableVersion::default()
             || lock(&self.told).as_ref().is_some_and(|told| told.version >= version)
@@ -156,7 +156,7 @@
 fn write_cell(count: &UsageCount) -> UsageCell {
     UsageCell {
         box_id: count.source.box_id.to_string(),
-        life: count.source.life.get(),
+        incarnation: count.source.life.get(),
         window: count.window.get(),
         customer: count.customer.to_string(),
         requests: count.requests,
@@ -167,7 +167,7 @@
     Some(UsageCount {
         source: CountSource {
             box_id: cell.box_id.parse().ok()?,
-            life: Incarnation::new(cell.life),
+            life: Incarnation::new(cell.incarnation),
         },
         window: UsageWindow::new(cell.window),
         customer: cell.customer.parse().ok()?,
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -7,15 +7,15 @@
 
 use ids::{ModelName, ModelVersion, Moment, ServiceName};
 use platform::{Kind, ObjectStore};
-use routing::{ColdLimit, RouteTable, TargetBoard};
-use suspects::SuspectBook;
+use routing::{ColdLimit, RouteTable, TargetTable};
+use suspects::SuspectTable;
 use tokio::sync::{Notify, watch};
 use upstream::{ConnectionLimit, TargetPool};
 
 use crate::clock::BeliefClock;
-use crate::duties::DutyBoard;
-use crate::feed::{FeedBoard, NewsTimes};
-use crate::usage::UsageBoard;
+use crate::duties::AssignmentTable;
+use crate::feed::{FeedState, FeedTimes};
+use crate::usage::UsageTracker;
 use crate::{NodeMetrics, NodeSettings};
 
 /// The belief of one box, shared by all its tasks.
@@ -30,14 +30,14 @@
     /// What is counted.
     pub metrics: NodeMetrics,
     /// What this box tells others of the store, or hears of it.
-    pub feed: FeedBoard,
+    pub feed: FeedState,
     /// Counts of customers' use, and true time.
-    pub usage: UsageBoard,
+    pub usage: UsageTracker,
     table: RwLock<Arc<RouteTable>>,
-    suspects: Mutex<SuspectBook>,
+    suspects: Mutex<SuspectTable>,
     suspect_news: Notify,
-    board: Mutex<TargetBoard>,
-    duties: Mutex<DutyBoard>,
+    board: Mutex<TargetTable>,
+    duties: Mutex<AssignmentTable>,
     named: Mutex<HashMap<ModelName, ModelVersion>>,
     store_up: watch::Sender<StoreState>,
     isolated: AtomicBool,
@@ -61,11 +61,11 @@
 impl NodeView {
     /// A view that believes nothing yet.
     pub fn new(settings: NodeSettings, store: ObjectStore) -> Self {
-        let board = TargetBoard::new(settings.domain.clone());
+        let board = TargetTable::new(settings.domain.clone());
         let limit = ConnectionLimit::for_descriptors(settings.max_fds);
-        let usage = UsageBoard::new(settings.box_id.clone(), settings.usage_window);
+        let usage = UsageTracker::new(settings.box_id.clone(), settings.usage_window);
         let clock = BeliefClock::start(settings.clock.clone());
-        let feed = FeedBoard::new(NewsTimes::for_bound(settings.news_bound));
+        let feed = FeedState::new(FeedTimes::for_bound(settings.propagation_bound));
         Self {
             settings,
             store,
@@ -102,7 +102,7 @@
     }
 
     /// Whether the configuration in force is surely the newest, give or take the time in which changes are heard.
-    pub fn knows_settings(&self) -> bool {
+    pub fn has_fresh_config(&self) -> bool {
         self.feed.knows(Kind::Configuration, self.now())
     }
 
@@ -135,17 +135,17 @@
     }
 
     /// The targets; held only for a moment.
-    pub fn board(&self) -> MutexGuard<'_, TargetBoard> {
+    pub fn board(&self) -> MutexGuard<'_, TargetTable> {
         self.board.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Who has which duty; held only for a moment.
-    pub fn duties(&self) -> MutexGuard<'_, DutyBoard> {
+    pub fn duties(&self) -> MutexGuard<'_, AssignmentTable> {
         self.duties.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Work under which targets have ended; held only for a moment.
-    pub fn suspects(&self) -> MutexGuard<'_, SuspectBook> {
+    pub fn suspects(&self) -> MutexGuard<'_, SuspectTable> {
         self.suspects.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use clap::Parser;
-use node::feed::NewsTimes;
+use node::feed::FeedTimes;
 use node::{NodeSettings, RawNodeSettings, SettingsError};
 use routing::ColdBound;
 
@@ -38,7 +38,7 @@
         check(&["--evacuate-ms", "", "--cold-excess", "", "--cold-slack", ""]).expect("sound");
     assert!(!settings.evacuations);
     assert_eq!(settings.cold_bound, ColdBound { excess: 1.0, slack: 0.0 });
-    assert_eq!(settings.news_bound, Duration::from_secs(2));
+    assert_eq!(settings.propagation_bound, Duration::from_secs(2));
 }
 
 #[test]
@@ -58,7 +58,7 @@
     let settings = check(&told).expect("sound");
     assert!(settings.evacuations);
     assert_eq!(settings.cold_bound, ColdBound { excess: 1.5, slack: 5.0 });
-    assert_eq!(settings.news_bound, Duration::from_secs(3), "the shorter of both");
+    assert_eq!(settings.propagation_bound, Duration::from_secs(3), "the shorter of both");
 }
 
 #[test]
@@ -73,7 +73,7 @@
 #[test]
 fn trust_in_news_ends_within_the_bound() {
     for bound in [2, 3, 5, 11].map(Duration::from_secs) {
-        let times = NewsTimes::for_bound(bound);
+        let times = FeedTimes::for_bound(bound);
         assert!(times.tell < times.hear && times.hear < bound);
         assert!(times.proof.wait + times.proof.slack < times.tell, "time for a second try");
     }
--- a/crates/placement/src/chooser.rs
+++ b/crates/placement/src/chooser.rs
@@ -39,7 +39,7 @@
 }
 
 /// A way to choose targets, told what becomes of the work placed.
-pub trait TargetChoice: fmt::Debug {
+pub trait PlacementPolicy: fmt::Debug {
     /// Picks from `pool` for work that needs a version of `window`, if any; `None` when the
     /// work had better wait.
     fn choose<'a>(
@@ -54,7 +54,7 @@
     fn assume_limit(&mut self, limit: u32);
 
     /// When a target that rests may be tried again.
-    fn next_rest_end(&self, now: Moment) -> Option<Moment>;
+    fn next_backoff_end(&self, now: Moment) -> Option<Moment>;
 
     /// Notes work placed at a target.
     fn placed(&mut self, id: &TargetId);
@@ -100,7 +100,7 @@
     }
 }
 
-impl TargetChoice for TargetChooser {
+impl PlacementPolicy for TargetChooser {
     fn choose<'a>(
         &mut self,
         now: Moment,
@@ -122,7 +122,7 @@
         self.first_limit = limit;
     }
 
-    fn next_rest_end(&self, now: Moment) -> Option<Moment> {
+    fn next_backoff_end(&self, now: Moment) -> Option<Moment> {
         self.views.values().map(|view| view.rest_until).filter(|until| *until > now).min()
     }
 
@@ -172,7 +172,7 @@
 
     /// Picks although every target rests: the one whose rest ends first. Resting must never
     /// leave a service without any target.
-    pub fn choose_resting<'a>(&self, pool: &'a [TargetId]) -> Option<&'a TargetId> {
+    pub fn choose_backed_off<'a>(&self, pool: &'a [TargetId]) -> Option<&'a TargetId> {
         let rest_end = |id: &TargetId| self.views.get(id).map(|view| view.rest_until);
         pool.iter().filter(|id| !self.is_full(id)).min_by_key(|id| rest_end(id))
     }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -16,8 +16,8 @@
 mod refusal;
 mod replica;
 
-pub use chooser::{TargetChoice, TargetChooser, TargetHint};
+pub use chooser::{PlacementPolicy, TargetChooser, TargetHint};
 pub use fair::FairShare;
-pub use queue::{Admission, Ask, QueueEvent, TargetQueue, TicketId};
+pub use queue::{Admission, AdmissionRequest, QueueEvent, TargetQueue, TicketId};
 pub use refusal::{NotRun, Refusal};
 pub use replica::{OrderId, OrderOutcome, ReplicaReading, ReplicaState, ReplicaStatus};
--- a/crates/placement/src/queue.rs
+++ b/crates/placement/src/queue.rs
@@ -25,7 +25,7 @@
 
 /// A wish to use the target.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask {
+pub struct AdmissionRequest {
     /// For whom; `None` for plain requests, which share one queue.
     pub trainer: Option<TrainerId>,
     /// Versions that will do; `None` where none matter.
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone)]
 struct Waiting {
     ticket: TicketId,
-    ask: Ask,
+    ask: AdmissionRequest,
 }
 
 /// Admission to one target.
@@ -117,7 +117,7 @@
     }
 
     /// Takes a wish to use the target.
-    pub fn ask(&mut self, now: Moment, ask: Ask) -> Admission {
+    pub fn ask(&mut self, now: Moment, ask: AdmissionRequest) -> Admission {
         if now >= ask.deadline {
             return Admission::Refused(Refusal::not_run(NotRun::Expired, Duration::ZERO));
         }
@@ -176,13 +176,13 @@
     }
 
     /// Notes that the target is said to be leaving.
-    pub const fn told_leaving(&mut self) {
-        self.replica.told_leaving();
+    pub const fn mark_leaving(&mut self) {
+        self.replica.mark_leaving();
     }
 
     /// Notes that the platform's list no longer says that the target is leaving. An engine is
     /// believed only in a new life; others have no life to tell, so the list decides.
-    pub fn told_staying(&mut self) {
+    pub fn clear_leaving(&mut self) {
         if self.kind != TargetKind::Engine && self.replica.status() == ReplicaStatus::Leaving {
             self.replica = ReplicaState::default();
         }
@@ -215,7 +215,7 @@
         mine >= (places / present.len()).max(1)
     }
 
-    fn refusal(&self, ask: &Ask) -> Option<Refusal> {
+    fn refusal(&self, ask: &AdmissionRequest) -> Option<Refusal> {
         let status = self.replica.status();
         let (reason, retry_after) = match status {
             ReplicaStatus::Leaving => (NotRun::Leaving, GONE_RETRY),
@@ -236,7 +236,7 @@
         Some(Refusal::not_run(reason, retry_after))
     }
 
-    fn can_start(&self, ask: &Ask) -> bool {
+    fn can_start(&self, ask: &AdmissionRequest) -> bool {
         if self.running.len() >= self.limit {
             return false;
         }
@@ -248,7 +248,7 @@
         }
     }
 
-    fn start(&mut self, ticket: TicketId, ask: &Ask) {
+    fn start(&mut self, ticket: TicketId, ask: &AdmissionRequest) {
         self.running.insert(ticket, ask.trainer.clone());
     }
 
--- a/crates/placement/src/refusal.rs
+++ b/crates/placement/src/refusal.rs
@@ -71,7 +71,7 @@
     }
 
     /// Whether the work surely did not run.
-    pub const fn surely_not_run(&self) -> bool {
+    pub const fn definitely_not_run(&self) -> bool {
         matches!(self, Self::NotRun { .. })
     }
 }
--- a/crates/placement/src/replica.rs
+++ b/crates/placement/src/replica.rs
@@ -186,7 +186,7 @@
     }
 
     /// Notes that the platform or a peer says the engine is leaving.
-    pub const fn told_leaving(&mut self) {
+    pub const fn mark_leaving(&mut self) {
         self.status = ReplicaStatus::Leaving;
     }
 
--- a/crates/placement/tests/admission.rs
+++ b/crates/placement/tests/admission.rs
@@ -4,8 +4,8 @@
 
 use ids::{FencingToken, Incarnation, ModelVersion, Moment, TokenCount, TrainerId, VersionWindow};
 use placement::{
-    Admission, Ask, NotRun, OrderOutcome, QueueEvent, Refusal, ReplicaReading, ReplicaStatus,
-    TargetQueue, TicketId,
+    Admission, AdmissionRequest, NotRun, OrderOutcome, QueueEvent, Refusal, ReplicaReading,
+    ReplicaStatus, TargetQueue, TicketId,
 };
 use pools::TargetKind;
 
@@ -27,10 +27,10 @@
     }
 }
 
-fn ask(trainer: &str, named: u64) -> Ask {
+fn ask(trainer: &str, named: u64) -> AdmissionRequest {
     let trainer: TrainerId = trainer.parse().expect("an id");
     let window = Some(VersionWindow::new(version(named), 1));
-    Ask { trainer: Some(trainer), window, deadline: at(60_000) }
+    AdmissionRequest { trainer: Some(trainer), window, deadline: at(60_000) }
 }
 
 fn engine(limit: usize) -> TargetQueue {
@@ -127,7 +127,7 @@
     let mut queue = engine(1);
     go(queue.ask(at(0), ask("a", 1)));
     let Admission::Wait(ticket) = queue.ask(at(0), ask("b", 1)) else { panic!("not queued") };
-    queue.told_leaving();
+    queue.mark_leaving();
     let events = queue.poll(at(1));
     assert!(
         matches!(events.as_slice(), [QueueEvent::Refused(refused, _)] if *refused == ticket),
@@ -140,7 +140,7 @@
     let mut queue = engine(4);
     queue.read(at(1), &ReplicaReading { leaving: true, ..reading(1, 1) });
     // A list that lags says that it stays, and an older reading comes late.
-    queue.told_staying();
+    queue.clear_leaving();
     queue.read(at(2), &reading(1, 1));
     assert_eq!(reason(queue.ask(at(3), ask("a", 1))), Some(NotRun::Leaving));
     queue.read(at(4), &reading(2, 1));
@@ -176,7 +176,7 @@
 fn work_past_its_deadline_is_refused_as_not_run() {
     let mut queue = engine(1);
     go(queue.ask(at(0), ask("a", 1)));
-    let late = Ask { deadline: at(5), ..ask("a", 1) };
+    let late = AdmissionRequest { deadline: at(5), ..ask("a", 1) };
     let Admission::Wait(ticket) = queue.ask(at(0), late.clone()) else { panic!("not queued") };
     let expired = Refusal::not_run(NotRun::Expired, Duration::ZERO);
     assert_eq!(queue.poll(at(5)), [QueueEvent::Refused(ticket, expired)]);
--- a/crates/pools/src/fleet.rs
+++ b/crates/pools/src/fleet.rs
@@ -8,7 +8,7 @@
 /// Which of the two measures a pool gives up last.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Favours {
+pub enum PoolObjective {
     /// Samples as new as possible, at the price of idle trainers.
     #[default]
     Staleness,
@@ -64,7 +64,7 @@
     pub staleness_bound: u32,
     /// Which measure is given up last.
     #[serde(default)]
-    pub favours: Favours,
+    pub favours: PoolObjective,
     /// Trainers that may open steps.
     pub trainers: Vec<TrainerId>,
     /// Engines of the pool.
--- a/crates/pools/src/lib.rs
+++ b/crates/pools/src/lib.rs
@@ -10,5 +10,5 @@
 mod targets;
 
 pub use check::{PoolError, parse_pool};
-pub use fleet::{Favours, FleetConfig, PoolEntry, PoolLimits, PoolSpec, SwapPolicy};
+pub use fleet::{FleetConfig, PoolEntry, PoolLimits, PoolObjective, PoolSpec, SwapPolicy};
 pub use targets::{TargetIndex, TargetKind, TargetList, TargetRecord};
--- a/crates/replicas/src/lib.rs
+++ b/crates/replicas/src/lib.rs
@@ -39,7 +39,7 @@
 /// Replicas that a service was given, by domain; lies in the store, so that a box which takes the duty over does not
 /// take a shortage for what was given.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GivenReplicas {
+pub struct BaselineReplicas {
     /// Replicas by domain.
     pub domains: BTreeMap<DomainId, u32>,
 }
@@ -59,7 +59,7 @@
     /// It was taken.
     Taken,
     /// None can be had there now.
-    NoneToBeHad,
+    NoCapacity,
     /// It was not taken, or nobody knows.
     Failed,
 }
@@ -85,7 +85,7 @@
     pub fn due(
         &mut self,
         now: Moment,
-        given: &GivenReplicas,
+        given: &BaselineReplicas,
         limits: ReplicaLimits,
         listed: &BTreeMap<DomainId, u32>,
         known: bool,
@@ -120,7 +120,7 @@
         let pause = match outcome {
             // Nothing may have been done: again soon, since it does no harm twice.
             OrderOutcome::Failed => Duration::from_secs(1),
-            OrderOutcome::Taken | OrderOutcome::NoneToBeHad => {
+            OrderOutcome::Taken | OrderOutcome::NoCapacity => {
                 before.map_or(AGAIN_PAUSE, |pause| (pause * 2).clamp(AGAIN_PAUSE, MOST_PAUSE))
             }
         };
--- a/crates/replicas/tests/plan.rs
+++ b/crates/replicas/tests/plan.rs
@@ -5,7 +5,7 @@
 
 use arbtest::arbtest;
 use ids::{DomainId, Moment};
-use replicas::{GivenReplicas, OrderOutcome, ReplicaLimits, ReplicaOrder, ReplicaPlan};
+use replicas::{BaselineReplicas, OrderOutcome, ReplicaLimits, ReplicaOrder, ReplicaPlan};
 
 const LIMITS: ReplicaLimits = ReplicaLimits { least: 1, most: 22 };
 
@@ -21,8 +21,8 @@
     (0..).zip(of).map(|(number, count)| (domain(number), *count)).collect()
 }
 
-fn given(of: &[u32]) -> GivenReplicas {
-    GivenReplicas { domains: counts(of) }
+fn given(of: &[u32]) -> BaselineReplicas {
+    BaselineReplicas { domains: counts(of) }
 }
 
 fn due(plan: &mut ReplicaPlan, millis: u64, listed: &[u32]) -> Vec<ReplicaOrder> {
@@ -81,7 +81,7 @@
     for millis in (0..300_000).step_by(250) {
         for order in due(&mut plan, millis, &[11, 5]) {
             tries.push(millis / 1_000);
-            plan.order_done(at(millis), &order, OrderOutcome::NoneToBeHad);
+            plan.order_done(at(millis), &order, OrderOutcome::NoCapacity);
         }
     }
     assert_eq!(tries, [5, 15, 35, 75, 135, 195, 255]);
--- a/crates/routing/src/board.rs
+++ b/crates/routing/src/board.rs
@@ -14,7 +14,8 @@
 use crate::cold::ColdLimit;
 use crate::index::TargetIndex;
 use crate::target::{
-    ChoiceNeed, HeldModel, TargetFailure, TargetLoad, TargetRecord, TargetShortage, TargetSlot,
+    ChosenTarget, HeldModel, NoTargetReason, TargetFailure, TargetLoad, TargetRecord,
+    TargetRequirements,
 };
 use crate::view::{ServiceRules, TargetView};
 
@@ -44,7 +45,7 @@
 
 /// The targets as this box knows them.
 #[derive(Debug)]
-pub struct TargetBoard {
+pub struct TargetTable {
     domain: DomainId,
     views: HashMap<InstanceId, TargetView>,
     index: TargetIndex,
@@ -56,7 +57,7 @@
     generation: u64,
 }
 
-impl TargetBoard {
+impl TargetTable {
     /// A board without targets, for a box of `domain`.
     pub fn new(domain: DomainId) -> Self {
         Self {
@@ -179,9 +180,9 @@
         &mut self,
         now: Moment,
         service: &ServiceName,
-        need: &ChoiceNeed<'_>,
+        need: &TargetRequirements<'_>,
         rng: &mut impl Rng,
-    ) -> Option<TargetSlot> {
+    ) -> Option<ChosenTarget> {
         let views = self.looked(service, need, rng);
         let fastest = fastest(&views);
         let rules = self.rules(now, service);
@@ -209,7 +210,7 @@
         if self.cold.contains_key(service) {
             view.sent.note(now);
         }
-        Some(TargetSlot {
+        Some(ChosenTarget {
             instance: chosen,
             born: view.record.born,
             software: view.record.software.clone(),
@@ -223,31 +224,31 @@
         &self,
         now: Moment,
         service: &ServiceName,
-        need: &ChoiceNeed<'_>,
+        need: &TargetRequirements<'_>,
         rng: &mut impl Rng,
-    ) -> TargetShortage {
+    ) -> NoTargetReason {
         let rules = self.rules(now, service);
         let mut able = self.looked(service, need, rng);
         able.retain(|view| view.is_able(need));
         if able.is_empty() {
-            return TargetShortage::OldVersion;
+            return NoTargetReason::OldVersion;
         }
         able.retain(|view| !rules.evacuated.contains(&view.record.domain));
         if able.is_empty() {
-            return TargetShortage::Evacuated;
+            return NoTargetReason::Evacuated;
         }
         able.retain(|view| now >= view.busy_until);
         if able.is_empty() {
-            return TargetShortage::Loading;
+            return NoTargetReason::Loading;
         }
         able.retain(|view| now >= view.rest_until);
         if able.is_empty() {
-            return TargetShortage::Resting;
+            return NoTargetReason::BackedOff;
         }
         if able.iter().all(|view| view.is_chilled(&rules, need)) {
-            TargetShortage::Cold
+            NoTargetReason::Cold
         } else {
-            TargetShortage::Full
+            NoTargetReason::Full
         }
     }
 
@@ -255,7 +256,7 @@
     fn looked(
         &self,
         service: &ServiceName,
-        need: &ChoiceNeed<'_>,
+        need: &TargetRequirements<'_>,
         rng: &mut impl Rng,
     ) -> Vec<&TargetView> {
         let instances = self.index.looked(service, need, rng).into_iter();
@@ -280,7 +281,7 @@
         now: Moment,
         instance: &InstanceId,
         pace: Duration,
-        need: &ChoiceNeed<'_>,
+        need: &TargetRequirements<'_>,
         rng: &mut impl Rng,
     ) -> bool {
         let Some(here) = self.views.get(instance) else { return false };
@@ -302,7 +303,7 @@
     }
 
     /// Takes the load that an answer told; requests of this box are taken off it.
-    pub fn told_load(&mut self, now: Moment, instance: &InstanceId, load: TargetLoad) {
+    pub fn record_load(&mut self, now: Moment, instance: &InstanceId, load: TargetLoad) {
         if let Some(view) = self.views.get_mut(instance) {
             view.others = (load.running + load.waiting).saturating_sub(view.mine);
             view.others_at = now;
@@ -310,7 +311,7 @@
     }
 
     /// Takes the time that a unit of work took there.
-    pub fn told_pace(&mut self, instance: &InstanceId, unit: Duration) {
+    pub fn record_unit_time(&mut self, instance: &InstanceId, unit: Duration) {
         let Some(view) = self.views.get_mut(instance) else { return };
         let millis = unit.as_secs_f64() * 1_000.0;
         view.pace =
@@ -359,7 +360,7 @@
     }
 
     /// Whether a target rests after a failure or a refusal.
-    pub fn is_resting(&self, now: Moment, instance: &InstanceId) -> bool {
+    pub fn is_backed_off(&self, now: Moment, instance: &InstanceId) -> bool {
         self.views.get(instance).is_some_and(|view| now < view.rest_until)
     }
 
--- a/crates/routing/src/index.rs
+++ b/crates/routing/src/index.rs
@@ -12,7 +12,7 @@
 use rand::Rng;
 use rand::seq::index;
 
-use crate::{ChoiceNeed, HeldModel};
+use crate::{HeldModel, TargetRequirements};
 
 /// Targets that one choice looks at, beside those that did work last.
 pub const MOST_LOOKED: usize = 64;
@@ -85,7 +85,7 @@
     pub fn looked(
         &self,
         service: &ServiceName,
-        need: &ChoiceNeed<'_>,
+        need: &TargetRequirements<'_>,
         rng: &mut impl Rng,
     ) -> Vec<&InstanceId> {
         let Some(of_service) = self.0.get(service) else { return Vec::new() };
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,7 +1,7 @@
 //! Routes of a configuration, and which target gets a request.
 //!
 //! [`RouteTable`] is one version of the operator's configuration; its [`CustomerTable`] tells whose keys
-//! callers show. [`TargetBoard`] is what this
+//! callers show. [`TargetTable`] is what this
 //! box knows of the targets: what the platform lists, corrected by what this box has sent and by
 //! the loads that answers tell. Nothing here does I/O; chance and time are passed in.
 
@@ -13,7 +13,7 @@
 mod target;
 mod view;
 
-pub use board::TargetBoard;
+pub use board::TargetTable;
 pub use cold::{ColdBound, ColdLimit, ColdSender, ColdSpec};
 pub use customers::{
     CallerIdentity, Customer, CustomerFault, CustomerSpec, CustomerTable, KeyDigest, KeyFault,
@@ -21,5 +21,6 @@
 pub use index::MOST_LOOKED;
 pub use table::{CallerLimits, Route, RouteKind, RouteTable, ServiceSpec, WeightedService};
 pub use target::{
-    ChoiceNeed, HeldModel, TargetFailure, TargetLoad, TargetRecord, TargetShortage, TargetSlot,
+    ChosenTarget, HeldModel, NoTargetReason, TargetFailure, TargetLoad, TargetRecord,
+    TargetRequirements,
 };
--- a/crates/routing/src/target.rs
+++ b/crates/routing/src/target.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use ids::{
-    BirthTime, DomainId, InstanceId, ModelName, ModelVersion, ServiceName, SoftwareVersion,
-    TargetLife,
+    DomainId, InstanceId, ModelName, ModelVersion, ServiceName, SoftwareVersion, StartTime,
+    TargetIncarnation,
 };
 
 use crate::ColdSender;
@@ -25,7 +25,7 @@
     /// The target's id.
     pub instance: InstanceId,
     /// When this life of it began.
-    pub born: BirthTime,
+    pub born: StartTime,
     /// The software that it runs, where it tells.
     pub software: Option<SoftwareVersion>,
     /// Its service.
@@ -46,15 +46,15 @@
 
 impl TargetRecord {
     /// This life of it.
-    pub fn life(&self) -> TargetLife {
-        TargetLife { instance: self.instance.clone(), born: self.born }
+    pub fn life(&self) -> TargetIncarnation {
+        TargetIncarnation { instance: self.instance.clone(), born: self.born }
     }
 }
 
-impl TargetSlot {
+impl ChosenTarget {
     /// The life that was chosen.
-    pub fn life(&self) -> TargetLife {
-        TargetLife { instance: self.instance.clone(), born: self.born }
+    pub fn life(&self) -> TargetIncarnation {
+        TargetIncarnation { instance: self.instance.clone(), born: self.born }
     }
 }
 
@@ -80,7 +80,7 @@
 
 /// What a request needs of its target.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct ChoiceNeed<'a> {
+pub struct TargetRequirements<'a> {
     /// A version of this model, at least this new.
     pub model: Option<(&'a ModelName, ModelVersion)>,
     /// Only targets with a free slot that do not rest: the request may wait.
@@ -95,13 +95,13 @@
 
 /// Why no target was found for a request that may wait.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TargetShortage {
+pub enum NoTargetReason {
     /// None holds the model in a version that is new enough.
     OldVersion,
     /// Those that do load weights.
     Loading,
     /// Those that do rest after a failure or a refusal.
-    Resting,
+    BackedOff,
     /// Those that do have no free slot.
     Full,
     /// Those that do are cold, and have got what they bear for now.
@@ -112,11 +112,11 @@
 
 /// A target chosen for one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct TargetSlot {
+pub struct ChosenTarget {
     /// The target's id.
     pub instance: InstanceId,
     /// When this life of it began.
-    pub born: BirthTime,
+    pub born: StartTime,
     /// The software that it runs, where it tells.
     pub software: Option<SoftwareVersion>,
     /// Where it takes requests.
--- a/crates/routing/src/view.rs
+++ b/crates/routing/src/view.rs
@@ -6,7 +6,7 @@
 use ids::{DomainId, ModelName, ModelVersion, Moment};
 
 use crate::cold::{ColdLimit, SendWindow};
-use crate::target::{ChoiceNeed, TargetRecord};
+use crate::target::{TargetRecord, TargetRequirements};
 
 /// How long a load told by an answer is believed.
 const LOAD_TRUST: Duration = Duration::from_millis(500);
@@ -83,7 +83,7 @@
         Some(held.version)
     }
 
-    pub fn fits(&self, rules: &ServiceRules<'_>, need: &ChoiceNeed<'_>) -> bool {
+    pub fn fits(&self, rules: &ServiceRules<'_>, need: &TargetRequirements<'_>) -> bool {
         let now = rules.now;
         if now < self.busy_until || !self.is_able(need) || self.is_barred(rules, need) {
             return false;
@@ -93,12 +93,12 @@
     }
 
     /// Whether it gets nothing now, however free it is.
-    pub fn is_barred(&self, rules: &ServiceRules<'_>, need: &ChoiceNeed<'_>) -> bool {
+    pub fn is_barred(&self, rules: &ServiceRules<'_>, need: &TargetRequirements<'_>) -> bool {
         rules.evacuated.contains(&self.record.domain) || self.is_chilled(rules, need)
     }
 
     /// Whether it is cold, and has got this sender's part of what it bears.
-    pub fn is_chilled(&self, rules: &ServiceRules<'_>, need: &ChoiceNeed<'_>) -> bool {
+    pub fn is_chilled(&self, rules: &ServiceRules<'_>, need: &TargetRequirements<'_>) -> bool {
         let Some(limit) = rules.cold.filter(|_| rules.now < self.cold_until) else { return false };
         let part = need.sender.map_or(0, |sender| limit.part(&self.record.instance, sender));
         self.sent.count(rules.now) >= part
@@ -114,7 +114,7 @@
     }
 
     /// Whether it could serve the need at another time.
-    pub fn is_able(&self, need: &ChoiceNeed<'_>) -> bool {
+    pub fn is_able(&self, need: &TargetRequirements<'_>) -> bool {
         if self.gone || self.record.leaving || need.avoid.contains(&self.record.instance) {
             return false;
         }
--- a/crates/routing/tests/large.rs
+++ b/crates/routing/tests/large.rs
@@ -3,10 +3,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use ids::{BirthTime, InstanceId, ModelName, ModelVersion, Moment, ServiceName};
+use ids::{InstanceId, ModelName, ModelVersion, Moment, ServiceName, StartTime};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use routing::{ChoiceNeed, HeldModel, TargetBoard, TargetLoad, TargetRecord, TargetShortage};
+use routing::{
+    HeldModel, NoTargetReason, TargetLoad, TargetRecord, TargetRequirements, TargetTable,
+};
 
 const NOW: Moment = Moment::START;
 
@@ -25,7 +27,7 @@
 fn target(at: usize, version: u64) -> TargetRecord {
     TargetRecord {
         instance: instance(at),
-        born: BirthTime::default(),
+        born: StartTime::default(),
         software: None,
         service: service(),
         address: SocketAddr::from(([10, 0, 0, 1], 80)),
@@ -38,8 +40,8 @@
 }
 
 /// `targets` of them, of which the first `fresh` hold the second version.
-fn board(targets: usize, fresh: usize) -> TargetBoard {
-    let mut board = TargetBoard::new("domain-0".parse().expect("an id"));
+fn board(targets: usize, fresh: usize) -> TargetTable {
+    let mut board = TargetTable::new("domain-0".parse().expect("an id"));
     for at in 0..targets {
         board.put(NOW, target(at, if at < fresh { 2 } else { 1 }));
     }
@@ -69,7 +71,7 @@
     }
 }
 
-fn draws(board: &mut TargetBoard, need: &ChoiceNeed<'_>) -> usize {
+fn draws(board: &mut TargetTable, need: &TargetRequirements<'_>) -> usize {
     let mut rng = CountingRng { rng: ChaCha8Rng::seed_from_u64(7), draws: 0 };
     for _ in 0..20 {
         board.choose(NOW, &service(), need, &mut rng).expect("a target");
@@ -81,8 +83,11 @@
 fn a_choice_among_ten_times_the_targets_looks_at_no_more() {
     let model = model();
     let needs = [
-        ChoiceNeed::default(),
-        ChoiceNeed { model: Some((&model, ModelVersion::new(1))), ..ChoiceNeed::default() },
+        TargetRequirements::default(),
+        TargetRequirements {
+            model: Some((&model, ModelVersion::new(1))),
+            ..TargetRequirements::default()
+        },
     ];
     for need in needs {
         let small = draws(&mut board(600, 0), &need);
@@ -95,8 +100,11 @@
 fn the_few_that_hold_new_weights_are_found_among_thousands() {
     let model = model();
     let floor = ModelVersion::new(2);
-    let need =
-        ChoiceNeed { model: Some((&model, floor)), free_slot: true, ..ChoiceNeed::default() };
+    let need = TargetRequirements {
+        model: Some((&model, floor)),
+        free_slot: true,
+        ..TargetRequirements::default()
+    };
     let mut board = board(6_000, 3);
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     for _ in 0..18 {
@@ -104,14 +112,14 @@
         assert!((0..3).any(|at| slot.instance == instance(at)), "{}", slot.instance);
     }
     assert_eq!(board.choose(NOW, &service(), &need, &mut rng), None);
-    assert_eq!(board.shortage(NOW, &service(), &need, &mut rng), TargetShortage::Full);
+    assert_eq!(board.shortage(NOW, &service(), &need, &mut rng), NoTargetReason::Full);
     // One more has loaded them, as an answer tells.
     board.told_version(&instance(4_000), &model, floor);
     let slot = board.choose(NOW, &service(), &need, &mut rng).expect("a free slot");
     assert_eq!(slot.instance, instance(4_000));
     board.remove(&instance(4_000));
-    let newer = ChoiceNeed { model: Some((&model, ModelVersion::new(3))), ..need };
-    assert_eq!(board.shortage(NOW, &service(), &newer, &mut rng), TargetShortage::OldVersion);
+    let newer = TargetRequirements { model: Some((&model, ModelVersion::new(3))), ..need };
+    assert_eq!(board.shortage(NOW, &service(), &newer, &mut rng), NoTargetReason::OldVersion);
 }
 
 /// The best of those that are looked at is hardly worse than the best of all.
@@ -119,11 +127,11 @@
 fn work_spreads_over_many_targets_and_keeps_off_the_busy_ones() {
     let mut board = board(2_000, 0);
     for at in 0..1_000 {
-        board.told_load(NOW, &instance(at), TargetLoad { running: 6, waiting: 4 });
+        board.record_load(NOW, &instance(at), TargetLoad { running: 6, waiting: 4 });
     }
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     for _ in 0..500 {
-        let slot = board.choose(NOW, &service(), &ChoiceNeed::default(), &mut rng);
+        let slot = board.choose(NOW, &service(), &TargetRequirements::default(), &mut rng);
         let slot = slot.expect("a target");
         assert!((1_000..2_000).any(|at| slot.instance == instance(at)), "a busy one was chosen");
     }
@@ -140,7 +148,7 @@
         let mut used = std::collections::HashSet::new();
         for turn in 0..200 {
             let now = NOW + Duration::from_secs(turn);
-            let slot = board.choose(now, &service(), &ChoiceNeed::default(), &mut rng);
+            let slot = board.choose(now, &service(), &TargetRequirements::default(), &mut rng);
             let instance = slot.expect("a target").instance;
             board.ended(&instance);
             board.succeeded(now, &instance);
@@ -158,7 +166,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     board.succeeded(NOW, &instance(5));
     let chosen: std::collections::HashSet<InstanceId> = (0..100)
-        .filter_map(|_| board.choose(NOW, &service(), &ChoiceNeed::default(), &mut rng))
+        .filter_map(|_| board.choose(NOW, &service(), &TargetRequirements::default(), &mut rng))
         .map(|slot| slot.instance)
         .collect();
     assert!(chosen.len() > 90, "{} targets", chosen.len());
--- a/crates/routing/tests/places.rs
+++ b/crates/routing/tests/places.rs
@@ -5,12 +5,12 @@
 use std::time::Duration;
 
 use arbtest::arbtest;
-use ids::{BirthTime, InstanceId, Moment, ServiceName, ShardIndex};
+use ids::{InstanceId, Moment, ServiceName, ShardIndex, StartTime};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use routing::{
-    ChoiceNeed, ColdBound, ColdLimit, ColdSender, ColdSpec, TargetBoard, TargetFailure,
-    TargetRecord, TargetShortage,
+    ColdBound, ColdLimit, ColdSender, ColdSpec, NoTargetReason, TargetFailure, TargetRecord,
+    TargetRequirements, TargetTable,
 };
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -32,7 +32,7 @@
 fn target(name: &str, domain: &str, cold_left: Duration) -> TargetRecord {
     TargetRecord {
         instance: instance(name),
-        born: BirthTime::default(),
+        born: StartTime::default(),
         software: None,
         service: service(),
         address: SocketAddr::from(([10, 0, 0, 1], 80)),
@@ -44,8 +44,8 @@
     }
 }
 
-fn board(targets: &[TargetRecord]) -> TargetBoard {
-    let mut board = TargetBoard::new("home".parse().expect("an id"));
+fn board(targets: &[TargetRecord]) -> TargetTable {
+    let mut board = TargetTable::new("home".parse().expect("an id"));
     board.limit_cold(HashMap::from([(service(), limit(11.0))]));
     for target in targets {
         board.put(Moment::START, target.clone());
@@ -57,18 +57,18 @@
     ColdSender { shard: ShardIndex::new(shard), shards }
 }
 
-fn send(board: &mut TargetBoard, now: Moment, sender: Option<ColdSender>) -> Option<String> {
-    let need = ChoiceNeed { sender, ..ChoiceNeed::default() };
+fn send(board: &mut TargetTable, now: Moment, sender: Option<ColdSender>) -> Option<String> {
+    let need = TargetRequirements { sender, ..TargetRequirements::default() };
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     board.choose(now, &service(), &need, &mut rng).map(|slot| slot.instance.to_string())
 }
 
-fn sent_at_once(board: &mut TargetBoard, now: Moment, from: ColdSender) -> usize {
+fn sent_at_once(board: &mut TargetTable, now: Moment, from: ColdSender) -> usize {
     (0..100).take_while(|_| send(board, now, Some(from)).is_some()).count()
 }
 
-fn shortage(board: &TargetBoard, now: Moment) -> TargetShortage {
-    let need = ChoiceNeed { sender: Some(sender(0, 1)), ..ChoiceNeed::default() };
+fn shortage(board: &TargetTable, now: Moment) -> NoTargetReason {
+    let need = TargetRequirements { sender: Some(sender(0, 1)), ..TargetRequirements::default() };
     board.shortage(now, &service(), &need, &mut ChaCha8Rng::seed_from_u64(1))
 }
 
@@ -79,7 +79,7 @@
     let mut board = board(&[target("i-1", "home", COLD_TIME)]);
     let first = sent_at_once(&mut board, Moment::START, sender(0, 1));
     assert_eq!(first, 10, "half of 21: a former server of the shard may still send as well");
-    assert_eq!(shortage(&board, Moment::START), TargetShortage::Cold);
+    assert_eq!(shortage(&board, Moment::START), NoTargetReason::Cold);
     assert_eq!(send(&mut board, Moment::START + SECOND, Some(sender(0, 1))), None);
     let later = Moment::START + SECOND + SECOND / 2;
     assert_eq!(sent_at_once(&mut board, later, sender(0, 1)), 10);
@@ -143,7 +143,7 @@
     board.put(Moment::START, target("i-3", "home", Duration::ZERO));
     assert!(board.evacuate(Moment::START, &away, true));
     assert_eq!(send(&mut board, Moment::START, Some(sender(0, 1))), None);
-    assert_eq!(shortage(&board, Moment::START), TargetShortage::Evacuated);
+    assert_eq!(shortage(&board, Moment::START), NoTargetReason::Evacuated);
 }
 
 /// Its targets may have turned cold while nothing went there, and all work would flow back at once.
--- a/crates/routing/tests/routing.rs
+++ b/crates/routing/tests/routing.rs
@@ -3,12 +3,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use ids::{BirthTime, Generation, InstanceId, ModelName, ModelVersion, Moment, ServiceName};
+use ids::{Generation, InstanceId, ModelName, ModelVersion, Moment, ServiceName, StartTime};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use routing::{
-    CallerLimits, ChoiceNeed, HeldModel, Route, RouteKind, RouteTable, TargetBoard, TargetFailure,
-    TargetLoad, TargetRecord, TargetShortage, WeightedService,
+    CallerLimits, HeldModel, NoTargetReason, Route, RouteKind, RouteTable, TargetFailure,
+    TargetLoad, TargetRecord, TargetRequirements, TargetTable, WeightedService,
 };
 
 fn route(name: &str, host: &str, prefix: &str) -> Route {
@@ -45,7 +45,7 @@
 fn target(name: &str, domain: &str, version: u64) -> TargetRecord {
     TargetRecord {
         instance: instance(name),
-        born: BirthTime::default(),
+        born: StartTime::default(),
         software: None,
         service: service("a"),
         address: SocketAddr::from(([10, 0, 0, 1], 80)),
@@ -57,15 +57,15 @@
     }
 }
 
-fn board(targets: &[TargetRecord]) -> TargetBoard {
-    let mut board = TargetBoard::new("home".parse().expect("an id"));
+fn board(targets: &[TargetRecord]) -> TargetTable {
+    let mut board = TargetTable::new("home".parse().expect("an id"));
     for target in targets {
         board.put(NOW, target.clone());
     }
     board
 }
 
-fn choose(board: &mut TargetBoard, now: Moment, need: &ChoiceNeed<'_>) -> Option<String> {
+fn choose(board: &mut TargetTable, now: Moment, need: &TargetRequirements<'_>) -> Option<String> {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     board.choose(now, &service("a"), need, &mut rng).map(|slot| slot.instance.to_string())
 }
@@ -106,18 +106,21 @@
     let mut board = board(&[leaving, target("gone", "home", 1), target("loading", "home", 1)]);
     board.failed(NOW, &instance("gone"), TargetFailure::Gone);
     board.loading(&instance("loading"), NOW + Duration::from_secs(1));
-    assert_eq!(choose(&mut board, NOW, &ChoiceNeed::default()), None);
+    assert_eq!(choose(&mut board, NOW, &TargetRequirements::default()), None);
     let later = NOW + Duration::from_secs(2);
-    assert_eq!(choose(&mut board, later, &ChoiceNeed::default()).as_deref(), Some("loading"));
+    assert_eq!(
+        choose(&mut board, later, &TargetRequirements::default()).as_deref(),
+        Some("loading")
+    );
 }
 
 #[test]
 fn only_versions_new_enough_are_chosen_and_none_is_taken_back() {
     let mut board = board(&[target("old", "home", 3)]);
     let name = model();
-    let need = |version| ChoiceNeed {
+    let need = |version| TargetRequirements {
         model: Some((&name, ModelVersion::new(version))),
-        ..ChoiceNeed::default()
+        ..TargetRequirements::default()
     };
     assert_eq!(choose(&mut board, NOW, &need(4)), None);
     board.told_version(&instance("old"), &name, ModelVersion::new(4));
@@ -129,8 +132,8 @@
 #[test]
 fn slots_taken_by_others_count_for_a_while() {
     let mut board = board(&[target("t", "home", 1)]);
-    let need = ChoiceNeed { free_slot: true, ..ChoiceNeed::default() };
-    board.told_load(NOW, &instance("t"), TargetLoad { running: 4, waiting: 0 });
+    let need = TargetRequirements { free_slot: true, ..TargetRequirements::default() };
+    board.record_load(NOW, &instance("t"), TargetLoad { running: 4, waiting: 0 });
     assert_eq!(choose(&mut board, NOW, &need), None);
     let later = NOW + Duration::from_secs(1);
     assert_eq!(choose(&mut board, later, &need).as_deref(), Some("t"));
@@ -140,7 +143,7 @@
 fn the_own_domain_is_preferred_until_it_is_busier() {
     let mut board = board(&[target("near", "home", 1), target("far", "away", 1)]);
     let chosen: Vec<Option<String>> =
-        (0..4).map(|_| choose(&mut board, NOW, &ChoiceNeed::default())).collect();
+        (0..4).map(|_| choose(&mut board, NOW, &TargetRequirements::default())).collect();
     assert_eq!(chosen[0].as_deref(), Some("near"));
     assert!(chosen.iter().any(|name| name.as_deref() == Some("far")));
 }
@@ -148,12 +151,13 @@
 #[test]
 fn slow_targets_get_less() {
     let mut board = board(&[target("fast", "home", 1), target("slow", "home", 1)]);
-    board.told_pace(&instance("fast"), Duration::from_millis(40));
-    board.told_pace(&instance("slow"), Duration::from_millis(160));
+    board.record_unit_time(&instance("fast"), Duration::from_millis(40));
+    board.record_unit_time(&instance("slow"), Duration::from_millis(160));
     let mut fast = 0;
     for _ in 0..4 {
-        fast +=
-            u32::from(choose(&mut board, NOW, &ChoiceNeed::default()).as_deref() == Some("fast"));
+        fast += u32::from(
+            choose(&mut board, NOW, &TargetRequirements::default()).as_deref() == Some("fast"),
+        );
     }
     assert!(fast >= 3, "{fast}");
 }
@@ -161,9 +165,9 @@
 #[test]
 fn where_a_fast_target_is_wanted_it_may_be_far_and_busier() {
     let mut board = board(&[target("near", "home", 1), target("fast", "away", 1)]);
-    board.told_pace(&instance("near"), Duration::from_millis(52));
-    board.told_pace(&instance("fast"), Duration::from_millis(40));
-    let need = ChoiceNeed { fast: true, ..ChoiceNeed::default() };
+    board.record_unit_time(&instance("near"), Duration::from_millis(52));
+    board.record_unit_time(&instance("fast"), Duration::from_millis(40));
+    let need = TargetRequirements { fast: true, ..TargetRequirements::default() };
     for _ in 0..3 {
         assert_eq!(choose(&mut board, NOW, &need).as_deref(), Some("fast"));
     }
@@ -173,9 +177,9 @@
 fn resting_targets_are_the_last_resort() {
     let mut board = board(&[target("broken", "home", 1), target("well", "away", 1)]);
     board.failed(NOW, &instance("broken"), TargetFailure::Broken);
-    assert_eq!(choose(&mut board, NOW, &ChoiceNeed::default()).as_deref(), Some("well"));
+    assert_eq!(choose(&mut board, NOW, &TargetRequirements::default()).as_deref(), Some("well"));
     let avoid = [instance("well")];
-    let need = ChoiceNeed { avoid: &avoid, ..ChoiceNeed::default() };
+    let need = TargetRequirements { avoid: &avoid, ..TargetRequirements::default() };
     assert_eq!(choose(&mut board, NOW, &need).as_deref(), Some("broken"));
 }
 
@@ -183,8 +187,8 @@
 fn a_run_moves_only_to_a_faster_target_with_a_free_slot() {
     let mut board = board(&[target("slow", "home", 1), target("fast", "home", 1)]);
     let pace = Duration::from_millis(160);
-    let need = ChoiceNeed { free_slot: true, ..ChoiceNeed::default() };
-    let moves = |board: &TargetBoard| {
+    let need = TargetRequirements { free_slot: true, ..TargetRequirements::default() };
+    let moves = |board: &TargetTable| {
         board.has_faster(
             NOW,
             &instance("slow"),
@@ -194,9 +198,9 @@
         )
     };
     assert!(!moves(&board), "its pace is not known");
-    board.told_pace(&instance("fast"), Duration::from_millis(40));
+    board.record_unit_time(&instance("fast"), Duration::from_millis(40));
     assert!(moves(&board));
-    board.told_load(NOW, &instance("fast"), TargetLoad { running: 4, waiting: 0 });
+    board.record_load(NOW, &instance("fast"), TargetLoad { running: 4, waiting: 0 });
     assert!(!moves(&board));
 }
 
@@ -204,7 +208,7 @@
 fn a_full_target_rests_longer_after_each_refusal_in_a_row() {
     let mut board = board(&[target("t", "home", 1)]);
     let well = [instance("t")];
-    let fits = |board: &TargetBoard, now: Moment| board.is_resting(now, &well[0]);
+    let fits = |board: &TargetTable, now: Moment| board.is_backed_off(now, &well[0]);
     let mut now = NOW;
     let mut rests = Vec::new();
     for _ in 0..4 {
@@ -227,26 +231,26 @@
 fn a_shortage_is_told_by_what_the_best_target_lacks() {
     let now = Moment::START + Duration::from_secs(1);
     let model = model();
-    let need = ChoiceNeed {
+    let need = TargetRequirements {
         model: Some((&model, ModelVersion::new(3))),
         free_slot: true,
-        ..ChoiceNeed::default()
+        ..TargetRequirements::default()
     };
     let mut board = board(&[target("old", "home", 2), target("new", "home", 3)]);
-    let told = |board: &TargetBoard| {
+    let told = |board: &TargetTable| {
         board.shortage(now, &service("a"), &need, &mut ChaCha8Rng::seed_from_u64(1))
     };
     for _ in 0..4 {
         assert_eq!(choose(&mut board, now, &need), Some("new".to_owned()));
     }
     assert_eq!(choose(&mut board, now, &need), None);
-    assert_eq!(told(&board), TargetShortage::Full);
+    assert_eq!(told(&board), NoTargetReason::Full);
     board.failed(now, &instance("new"), TargetFailure::Broken);
-    assert_eq!(told(&board), TargetShortage::Resting);
+    assert_eq!(told(&board), NoTargetReason::BackedOff);
     board.loading(&instance("new"), now + Duration::from_secs(1));
-    assert_eq!(told(&board), TargetShortage::Loading);
+    assert_eq!(told(&board), NoTargetReason::Loading);
     board.remove(&instance("new"));
-    assert_eq!(told(&board), TargetShortage::OldVersion);
+    assert_eq!(told(&board), NoTargetReason::OldVersion);
 }
 
 #[test]
@@ -254,11 +258,11 @@
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut board = board(&[target("i-1", "home", 5)]);
     let now = Moment::START;
-    let need = ChoiceNeed::default();
+    let need = TargetRequirements::default();
     board.choose(now, &service("a"), &need, &mut rng).expect("a target");
     board.failed(now, &instance("i-1"), TargetFailure::Gone);
     assert!(!board.stays(&instance("i-1")));
-    let born = BirthTime::new(7);
+    let born = StartTime::new(7);
     board.put(NOW, TargetRecord { born, ..target("i-1", "home", 1) });
     assert!(board.stays(&instance("i-1")));
     assert_eq!(board.mine(&instance("i-1")), 0);
--- a/crates/sessions/src/engine.rs
+++ b/crates/sessions/src/engine.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeMap;
 
 use ids::{
-    AnswerDigest, DigestWriter, FencingToken, Incarnation, ModelVersion, Moment, TargetId,
+    ContentDigest, DigestWriter, FencingToken, Incarnation, ModelVersion, Moment, TargetId,
     TokenCount,
 };
-use keeping::{AttemptEnd, Placement};
-use ledger::{ChunkStamp, Sample, StampTrail};
+use keeping::{AttemptOutcome, Placement};
+use ledger::{ChunkAssembler, ChunkStamp, Sample};
 use placement::{ReplicaReading, ReplicaStatus, TargetHint, TargetQueue, TicketId};
 use pools::TargetKind;
 use standins::engine_model::{EngineModel, EngineSettings, StreamId};
@@ -25,7 +25,7 @@
     /// What was placed.
     pub placement: Placement,
     ticket: TicketId,
-    trail: StampTrail,
+    trail: ChunkAssembler,
     digest: DigestWriter,
     tokens: u32,
     text: String,
@@ -64,7 +64,7 @@
     /// What was placed.
     pub placement: Placement,
     /// How it ended.
-    pub end: AttemptEnd,
+    pub end: AttemptOutcome,
 }
 
 impl EngineSite {
@@ -136,7 +136,7 @@
         from: (BoxIndex, u64),
         placement: Placement,
     ) {
-        let prompt = AnswerDigest::of(placement.assignment.prompt.as_bytes()).get();
+        let prompt = ContentDigest::of(placement.assignment.prompt.as_bytes()).get();
         let longest = placement.assignment.max_tokens.get();
         // By slot, so that a sample is as long whoever makes it, and however often.
         let seed = u64::from(placement.assignment.slot.get());
@@ -146,7 +146,7 @@
             from,
             placement,
             ticket,
-            trail: StampTrail::default(),
+            trail: ChunkAssembler::default(),
             digest: DigestWriter::default(),
             tokens: 0,
             text: String::new(),
@@ -196,7 +196,7 @@
             self.model.cancel(now, stream);
             self.queue.ended(entry.ticket, TokenCount::new(entry.tokens));
             let EngineRun { from, placement, .. } = entry;
-            ended.push(EndedRun { from, placement, end: AttemptEnd::Unusable });
+            ended.push(EndedRun { from, placement, end: AttemptOutcome::Unusable });
         }
         ended
     }
@@ -240,10 +240,14 @@
         let slot = self.placement.assignment.slot;
         let finished = self.trail.finish(TokenCount::new(self.tokens), self.digest.digest());
         let end = match finished {
-            Ok((spans, text)) if !self.broken => {
-                AttemptEnd::Made(Sample { slot, spans, text, score: None, engine: engine.clone() })
-            }
-            _ => AttemptEnd::Unusable,
+            Ok((spans, text)) if !self.broken => AttemptOutcome::Made(Sample {
+                slot,
+                spans,
+                text,
+                score: None,
+                engine: engine.clone(),
+            }),
+            _ => AttemptOutcome::Unusable,
         };
         EndedRun { from: self.from, placement: self.placement, end }
     }
--- a/crates/sessions/src/events.rs
+++ b/crates/sessions/src/events.rs
@@ -5,8 +5,8 @@
 
 use coord::lease::{LeaseAction, ReadOutcome, WriteOutcome};
 use ids::{Incarnation, ModelVersion, Moment, TargetId};
-use keeping::{AttemptEnd, KeeperRefusal, KeptState, Placement};
-use ledger::{HandOut, Pull, StepSnapshot};
+use keeping::{AttemptOutcome, KeeperRefusal, KeptState, Placement};
+use ledger::{Pull, PulledBatch, StepSnapshot};
 use placement::TargetHint;
 
 use crate::faults::Fault;
@@ -35,7 +35,7 @@
     /// The step is open.
     Opened(Result<KeptState, KeeperRefusal>),
     /// Samples.
-    Pulled(Result<(HandOut, KeptState), KeeperRefusal>),
+    Pulled(Result<(PulledBatch, KeptState), KeeperRefusal>),
 }
 
 /// One event.
@@ -52,7 +52,7 @@
     /// Work reaches its target's home.
     WorkArrives(BoxIndex, u64, RunId, Placement),
     /// An attempt's end reaches the keeper that placed it.
-    WorkEnds(BoxIndex, u64, Placement, AttemptEnd, Option<TargetHint>),
+    WorkEnds(BoxIndex, u64, Placement, AttemptOutcome, Option<TargetHint>),
     /// An engine may have something to do.
     EngineDue(TargetId),
     /// The conductor looks around.
--- a/crates/sessions/src/store.rs
+++ b/crates/sessions/src/store.rs
@@ -1,12 +1,12 @@
 //! A lease object with versions, outages and lost answers.
 
-use coord::lease::{LeaseRecord, LeaseSighting, ReadOutcome, WriteOutcome};
+use coord::lease::{LeaseRecord, ReadOutcome, VersionedLease, WriteOutcome};
 use ids::ObjectVersion;
 
 /// The one lease of a session.
 #[derive(Debug, Default)]
 pub struct LeaseStore {
-    object: Option<LeaseSighting>,
+    object: Option<VersionedLease>,
     versions: u64,
     /// Every call is refused.
     pub down: bool,
@@ -34,7 +34,7 @@
         }
         self.versions += 1;
         let version = ObjectVersion::new(self.versions);
-        self.object = Some(LeaseSighting { version, record });
+        self.object = Some(VersionedLease { version, record });
         if self.lose_answers > 0 {
             self.lose_answers -= 1;
             return WriteOutcome::Unknown;
--- a/crates/sessions/src/trainer.rs
+++ b/crates/sessions/src/trainer.rs
@@ -1,7 +1,7 @@
 //! A trainer that pulls its step, as the client library does.
 
 use ids::{ModelVersion, Moment};
-use ledger::{Intake, Pull, StepIntake, StepSpec};
+use ledger::{Pull, ReceivedBatch, StepReceiver, StepSpec};
 
 use crate::events::{BoxIndex, Question, Reply};
 
@@ -12,7 +12,7 @@
 #[derive(Debug)]
 pub struct SimTrainer {
     /// What it holds.
-    pub intake: StepIntake,
+    pub intake: StepReceiver,
     /// The box it asks now.
     pub asks: BoxIndex,
     question: u64,
@@ -28,14 +28,14 @@
     /// Nothing; it was late, refused or empty.
     Nothing,
     /// Samples, judged by the intake.
-    Samples(Intake),
+    Samples(ReceivedBatch),
 }
 
 impl SimTrainer {
     /// A trainer that holds nothing.
     pub fn new(spec: StepSpec) -> Self {
         Self {
-            intake: StepIntake::new(spec),
+            intake: StepReceiver::new(spec),
             asks: 0,
             question: 0,
             asked_at: None,
--- a/crates/sessions/src/world.rs
+++ b/crates/sessions/src/world.rs
@@ -9,12 +9,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use ::swaps::SwapConductor;
+use ::swaps::RolloutCoordinator;
 use ids::{FencingToken, Generation, ModelVersion, Moment, SlotIndex, TargetId};
 use keeping::StepKeeper;
 use ledger::{GroupSpec, Sample, StepSpec};
-use placement::{TargetChoice, TargetChooser};
-use pools::{Favours, PoolLimits, PoolSpec, SwapPolicy};
+use placement::{PlacementPolicy, TargetChooser};
+use pools::{PoolLimits, PoolObjective, PoolSpec, SwapPolicy};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use standins::engine_model::EngineSettings;
@@ -119,7 +119,7 @@
     store: LeaseStore,
     boxes: Vec<SimBox<C>>,
     engines: Vec<EngineSite>,
-    conductor: SwapConductor,
+    conductor: RolloutCoordinator,
     trainer: SimTrainer,
     avoid: BTreeMap<BoxIndex, Moment>,
     pool: PoolSpec,
@@ -156,7 +156,7 @@
     format!("slot {} by {}", sample.slot, versions.join("+"))
 }
 
-impl<C: TargetChoice + Default> World<C> {
+impl<C: PlacementPolicy + Default> World<C> {
     /// A session at its start.
     pub fn new(plan: WorldPlan, faults: FaultPlan) -> Self {
         let engines: Vec<TargetId> =
@@ -165,7 +165,7 @@
             name: name("layout"),
             version: ModelVersion::new(1),
             staleness_bound: 1,
-            favours: Favours::Staleness,
+            favours: PoolObjective::Staleness,
             trainers: vec![name("press-1")],
             engines: engines.clone(),
             scorers: Vec::new(),
@@ -190,7 +190,7 @@
             store: LeaseStore::default(),
             boxes: (0..plan.boxes).map(|_| SimBox::new()).collect(),
             engines: engines.into_iter().map(site).collect(),
-            conductor: SwapConductor::new(Moment::START, FencingToken::new(1)),
+            conductor: RolloutCoordinator::new(Moment::START, FencingToken::new(1)),
             trainer: SimTrainer::new(spec),
             avoid: BTreeMap::new(),
             pool,
--- a/crates/sessions/src/world/boxes.rs
+++ b/crates/sessions/src/world/boxes.rs
@@ -3,7 +3,7 @@
 use coord::lease::LeaseAction;
 use ids::{BoxId, Incarnation, Moment};
 use keeping::{KeeperAction, KeeperSettings, Placement, StepKeeper};
-use placement::TargetChoice;
+use placement::PlacementPolicy;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use super::{World, box_name, name, shown};
 use crate::events::{BoxIndex, Event, Question, Reply, RunId};
 
-impl<C: TargetChoice + Default> World<C> {
+impl<C: PlacementPolicy + Default> World<C> {
     pub(super) fn at_box(&mut self, now: Moment, index: BoxIndex, event: Event) {
         let site = &mut self.boxes[index];
         if site.stopped {
--- a/crates/sessions/src/world/faults.rs
+++ b/crates/sessions/src/world/faults.rs
@@ -1,13 +1,13 @@
 //! What goes wrong.
 
 use ids::{ModelVersion, Moment};
-use placement::TargetChoice;
+use placement::PlacementPolicy;
 
 use super::{SimBox, World};
 use crate::events::{BoxIndex, Event};
 use crate::faults::Fault;
 
-impl<C: TargetChoice + Default> World<C> {
+impl<C: PlacementPolicy + Default> World<C> {
     pub(super) fn fault(&mut self, now: Moment, fault: Fault) {
         self.say(now, format!("fault: {fault:?}"));
         match fault {
--- a/crates/sessions/src/world/swaps.rs
+++ b/crates/sessions/src/world/swaps.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use ::swaps::{SwapAction, SwapOrder};
+use ::swaps::{RolloutAction, SwapOrder};
 use ids::{Incarnation, ModelVersion, Moment, TargetId};
-use placement::{OrderOutcome, TargetChoice};
+use placement::{OrderOutcome, PlacementPolicy};
 use standins::engine_model::OrderStart;
 
 use super::World;
@@ -13,7 +13,7 @@
 /// Time between the conductor's looks.
 const CONDUCT_EVERY: Duration = Duration::from_millis(100);
 
-impl<C: TargetChoice + Default> World<C> {
+impl<C: PlacementPolicy + Default> World<C> {
     pub(super) fn conduct(&mut self, now: Moment) {
         let engines = self.engines.iter().filter(|engine| engine.leaving_since.is_none());
         let replicas: Vec<(TargetId, bool)> =
@@ -21,8 +21,8 @@
         self.conductor.want(self.pool.version, self.pool.swap, replicas);
         for action in self.conductor.poll(now) {
             match action {
-                SwapAction::Order(order) => self.order(now, order),
-                SwapAction::Read(id) => {
+                RolloutAction::Order(order) => self.order(now, order),
+                RolloutAction::Read(id) => {
                     let reading = self.engine(&id).reading(now);
                     let version = reading.version.filter(|_| !reading.loading);
                     let reading = Some((reading.incarnation, version));
--- a/crates/sessions/src/world/targets.rs
+++ b/crates/sessions/src/world/targets.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use ids::{Moment, TargetId};
-use keeping::{AttemptEnd, Placement};
-use placement::{Admission, Ask, QueueEvent, Refusal, TargetChoice};
+use keeping::{AttemptOutcome, Placement};
+use placement::{Admission, AdmissionRequest, PlacementPolicy, QueueEvent, Refusal};
 
 use super::World;
 use crate::engine::{EndedRun, EngineSite};
@@ -15,7 +15,7 @@
 /// How long work may wait at its home.
 const QUEUE_WAIT: Duration = Duration::from_secs(5);
 
-impl<C: TargetChoice + Default> World<C> {
+impl<C: PlacementPolicy + Default> World<C> {
     pub(super) fn engine(&mut self, id: &TargetId) -> &mut EngineSite {
         let found = self.engines.iter_mut().find(|engine| engine.id == *id);
         found.expect("work goes to engines of the session")
@@ -31,7 +31,7 @@
         if self.boxes[from.0].life != from.1 {
             return;
         }
-        let ask = Ask {
+        let ask = AdmissionRequest {
             trainer: Some(self.pool.trainers[0].clone()),
             window: Some(placement.assignment.window),
             deadline: now + QUEUE_WAIT,
@@ -66,8 +66,10 @@
     ) {
         let hint = self.engine(&placement.target.clone()).hint();
         let end = match refusal {
-            Refusal::NotRun { reason, retry_after } => AttemptEnd::NotRun { reason, retry_after },
-            Refusal::Unknown => AttemptEnd::Unusable,
+            Refusal::NotRun { reason, retry_after } => {
+                AttemptOutcome::NotRun { reason, retry_after }
+            }
+            Refusal::Unknown => AttemptOutcome::Unusable,
         };
         self.send(now, Event::WorkEnds(from.0, from.1, placement, end, Some(hint)));
     }
@@ -112,7 +114,7 @@
         let hint = self.engine(id).hint();
         for EndedRun { from, placement, end } in ended {
             let how =
-                if matches!(end, AttemptEnd::Made(_)) { "streamed whole" } else { "broke off" };
+                if matches!(end, AttemptOutcome::Made(_)) { "streamed whole" } else { "broke off" };
             let slot = placement.assignment.slot;
             self.say(now, format!("slot {slot} {how} from {id}"));
             let event = Event::WorkEnds(from.0, from.1, placement, end, Some(hint));
--- a/crates/sessions/src/world/trainer.rs
+++ b/crates/sessions/src/world/trainer.rs
@@ -4,7 +4,7 @@
 
 use ids::Moment;
 use keeping::KeeperRefusal;
-use placement::TargetChoice;
+use placement::PlacementPolicy;
 
 use super::{World, box_name};
 use crate::events::{BoxIndex, Event, Reply};
@@ -15,7 +15,7 @@
 /// How long a box that did not reply is left alone.
 const AVOID_FOR: Duration = Duration::from_secs(2);
 
-impl<C: TargetChoice + Default> World<C> {
+impl<C: PlacementPolicy + Default> World<C> {
     pub(super) fn trainer_due(&mut self, now: Moment) {
         let asks = self.trainer.asks;
         if let Some(asked_at) = self.trainer.asked_at() {
--- a/crates/shards/src/account.rs
+++ b/crates/shards/src/account.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ids::{JobId, whole_millis};
-use jobs::{StartHold, StepAccount};
+use jobs::{BlockReason, StepTimings};
 
 use crate::keeper::ShardKeeper;
 
@@ -16,10 +16,10 @@
 
 /// Logs a job's account at its end. Times are in milliseconds since the job was taken here, and -1 for
 /// what did not come; times of the last wanted item and of holds are durations.
-pub(crate) fn log_account(keeper: &ShardKeeper, job: &JobId, account: &StepAccount) {
+pub(crate) fn log_account(keeper: &ShardKeeper, job: &JobId, account: &StepTimings) {
     let step = keeper.book().step(job);
     let (item, last) = account.last.clone().unwrap_or_default();
-    let held = |hold: StartHold| {
+    let held = |hold: BlockReason| {
         let found = account.holds.iter().find(|(other, _)| *other == hold);
         found.map_or(0, |(_, time)| whole_millis(*time))
     };
@@ -32,11 +32,11 @@
         item = item.as_str(), target = last.target.as_ref().map_or("", |target| target.as_str()),
         runs = last.runs, waited_ms = whole_millis(last.waited), ran_ms = whole_millis(last.ran),
         scored_ms = whole_millis(last.scored),
-        old_ms = held(StartHold::OldWeights), loading_ms = held(StartHold::Loading),
-        resting_ms = held(StartHold::Resting), full_ms = held(StartHold::Full),
-        cold_ms = held(StartHold::Cold), evacuated_ms = held(StartHold::Evacuated),
-        no_route_ms = held(StartHold::NoRoute), connections_ms = held(StartHold::NoConnections),
-        condemned_ms = held(StartHold::Condemned);
+        old_ms = held(BlockReason::OldWeights), loading_ms = held(BlockReason::Loading),
+        resting_ms = held(BlockReason::BackedOff), full_ms = held(BlockReason::Full),
+        cold_ms = held(BlockReason::Cold), evacuated_ms = held(BlockReason::Evacuated),
+        no_route_ms = held(BlockReason::NoRoute), connections_ms = held(BlockReason::NoConnections),
+        condemned_ms = held(BlockReason::Quarantined);
         "step told"
     );
 }
--- a/crates/shards/src/accounts.rs
+++ b/crates/shards/src/accounts.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use ids::FencingToken;
-use platform::accounts::{AccountClient, AccountError, DutyHand};
+use platform::accounts::{AccountingClient, AccountingError, LeaseHolder};
 use tokio::time;
 
 use crate::claim::{DutyClaim, DutySubject, tend_claim};
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 pub(crate) struct AccountDuty {
     pub ctx: Arc<ShardContext>,
-    pub client: AccountClient,
+    pub client: AccountingClient,
     claim: Arc<DutyClaim>,
     /// Calls in a row that got no answer.
     unanswered: u32,
@@ -36,9 +36,9 @@
 impl AccountDuty {
     /// Under whose hand a call may be made now. Asked for right before each call, since the process may have been
     /// stopped since.
-    pub fn hand(&self) -> Option<DutyHand> {
+    pub fn hand(&self) -> Option<LeaseHolder> {
         let token = self.token()?;
-        Some(DutyHand { holder: self.ctx.me.box_id.clone(), token })
+        Some(LeaseHolder { holder: self.ctx.me.box_id.clone(), token })
     }
 
     /// The token of the duty, while it is this box's.
@@ -47,8 +47,8 @@
     }
 
     /// Notes how a call ended; leaves the duty to others where the accounts are out of reach.
-    pub fn note_call(&mut self, ended: Result<(), AccountError>) {
-        if ended != Err(AccountError::NoAnswer) {
+    pub fn note_call(&mut self, ended: Result<(), AccountingError>) {
+        if ended != Err(AccountingError::NoAnswer) {
             self.unanswered = 0;
             return;
         }
@@ -64,7 +64,7 @@
 /// Does the duty for as long as the box runs, where the platform has accounts.
 pub(crate) async fn keep_accounts(ctx: Arc<ShardContext>, keepers: Arc<KeeperSet>) {
     let Some(address) = ctx.settings.accounts else { return };
-    let client = match AccountClient::new(address) {
+    let client = match AccountingClient::new(address) {
         Ok(client) => client,
         Err(error) => {
             log::error!(target: "accounts", error:% = error; "no reports and no orders: the client cannot be made");
--- a/crates/shards/src/claim.rs
+++ b/crates/shards/src/claim.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use coord::lease::{
-    LeaseAction, LeaseClaim, LeaseRecord, LeaseSighting, ReadOutcome, WriteOutcome,
+    LeaseAction, LeaseClaim, LeaseRecord, ReadOutcome, VersionedLease, WriteOutcome,
 };
 use ids::{FencingToken, Moment, ObjectVersion, ServiceName, whole_millis};
 use joblog::shard_of;
@@ -199,7 +199,7 @@
             note_answer(ctx, read.is_ok());
             let outcome = match read {
                 Ok(Some(stored)) => match stored.parse::<LeaseRecord>() {
-                    Ok(record) => ReadOutcome::Found(LeaseSighting {
+                    Ok(record) => ReadOutcome::Found(VersionedLease {
                         version: ObjectVersion::new(stored.revision),
                         record,
                     }),
@@ -214,7 +214,7 @@
             let mut claim = lock(&held.claim);
             claim.read_done(ctx.view.now(), outcome);
             // None to be seen is no claim of this box's either: the one that serves takes it.
-            *lock(&held.others) = !claim.is_held() && !claim.takes_own();
+            *lock(&held.others) = !claim.is_held() && !claim.held_by_earlier_incarnation();
         }
         LeaseAction::Write { expect, record } => {
             let before = lock(&held.claim).other_holder().cloned();
--- a/crates/shards/src/context.rs
+++ b/crates/shards/src/context.rs
@@ -4,12 +4,12 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use ids::{BoxId, FencingToken, ShardIndex};
-use joblog::{CopyHolder, choose_sound_partners};
+use joblog::{StorageBox, choose_healthy_partners};
 use links::{CallError, LinkPool};
 use node::{NodeView, StorageSettings};
 use tokio::sync::Notify;
 use tokio_util::sync::CancellationToken;
-use wire::peer::{HeldLease, shard_answer, shard_request};
+use wire::peer::{HeldLease, shard_request, shard_response};
 
 use crate::copies::OpenCopies;
 use crate::loads::LoadBoard;
@@ -26,7 +26,7 @@
     /// Its settings.
     pub settings: StorageSettings,
     /// This box as others see it.
-    pub me: CopyHolder,
+    pub me: StorageBox,
     /// Connections to other boxes.
     pub links: LinkPool,
     /// Copies of logs on this box's disk.
@@ -58,7 +58,7 @@
         copies: OpenCopies,
     ) -> Self {
         let node = &settings.node;
-        let me = CopyHolder {
+        let me = StorageBox {
             box_id: node.box_id.clone(),
             address: node.advertised.to_string(),
             domain: node.domain.clone(),
@@ -125,7 +125,7 @@
     }
 
     /// The boxes for the other copies of a shard; `None` when there are too few.
-    pub fn choose_copies(&self, shard: ShardIndex) -> Option<Vec<CopyHolder>> {
+    pub fn choose_copies(&self, shard: ShardIndex) -> Option<Vec<StorageBox>> {
         let now = self.view.now();
         let retiring = self.retiring().clone();
         let duties = self.view.duties();
@@ -134,10 +134,10 @@
                 && !retiring.contains(&copy.box_id)
                 && self.peers.is_fit(now, &copy.box_id)
         });
-        let fit: Vec<CopyHolder> = boxes.cloned().collect();
+        let fit: Vec<StorageBox> = boxes.cloned().collect();
         let failing = self.peers.failing(now);
         let count = self.settings.copies.saturating_sub(1);
-        let chosen = choose_sound_partners(shard, &self.me.domain, &fit, &failing, count);
+        let chosen = choose_healthy_partners(shard, &self.me.domain, &fit, &failing, count);
         if chosen.is_none() {
             self.peers.call_standby(now);
         }
@@ -150,7 +150,7 @@
         address: &str,
         time: std::time::Duration,
         body: shard_request::Body,
-    ) -> Result<shard_answer::Body, CallError> {
-        self.links.ask_shard(address, time, body).await
+    ) -> Result<shard_response::Body, CallError> {
+        self.links.call_shard_unary(address, time, body).await
     }
 }
--- a/crates/shards/src/copying.rs
+++ b/crates/shards/src/copying.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use futures::future::join_all;
-use ids::{JobId, RecordPlace, ShardIndex};
-use joblog::{CopyHolder, EpochId, LogCopyFile, encode_record};
+use ids::{JobId, RecordLocation, ShardIndex};
+use joblog::{EpochId, LogCopyFile, StorageBox, encode_record};
 use jobs::SnapshotCursor;
-use wire::peer::{LogCopy, log_record, shard_answer, shard_request};
+use wire::peer::{LogCopy, log_record, shard_request, shard_response};
 
 use crate::context::ShardContext;
 use crate::copies::on_disk;
@@ -19,7 +19,7 @@
 const PIECE_BYTES: usize = 1 << 20;
 
 /// Where results lie in a copy, by job and position.
-pub type ResultPlaces = Vec<(JobId, u32, RecordPlace)>;
+pub type ResultPlaces = Vec<(JobId, u32, RecordLocation)>;
 
 /// Writes the book to this box's new copy and to the partners', piece by piece, and waits for all
 /// disks. Nothing is applied to the book meanwhile, since the shard is not served.
@@ -27,7 +27,7 @@
     ctx: &Arc<ShardContext>,
     keeper: &ShardKeeper,
     epoch: &EpochId,
-    partners: &[CopyHolder],
+    partners: &[StorageBox],
 ) -> Option<NewCopy> {
     let shard = keeper.shard();
     let mut reader = SnapshotReader::new(keeper);
@@ -130,10 +130,10 @@
     written.await
 }
 
-async fn send_piece(ctx: &ShardContext, copy: &LogCopy, partner: &CopyHolder) -> bool {
+async fn send_piece(ctx: &ShardContext, copy: &LogCopy, partner: &StorageBox) -> bool {
     let body = shard_request::Body::Copy(copy.clone());
     let answer = ctx.ask(&partner.address, PIECE_TIME, body).await;
-    let taken = matches!(answer, Ok(shard_answer::Body::Synced(_)));
+    let taken = matches!(answer, Ok(shard_response::Body::Synced(_)));
     if !taken {
         ctx.peers.failed(ctx.view.now(), &partner.box_id);
         log::warn!(
--- a/crates/shards/src/dispatch.rs
+++ b/crates/shards/src/dispatch.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use ids::{ModelName, ModelVersion, ServiceName, ShardIndex, WorkDigest};
-use jobs::{RewardEnd, RunEnd, RunOutcome, RunSpec, StartHold};
-use node::{RunningSlot, WorkGate, item_work};
+use jobs::{BlockReason, RewardOutcome, RunOutcome, RunResult, RunSpec};
+use node::{SlotGuard, WorkAdmission, item_work};
 use rand::Rng;
-use routing::{ChoiceNeed, ColdSender, TargetShortage};
+use routing::{ColdSender, NoTargetReason, TargetRequirements};
 use tokio::time;
 use wire::peer::{LogRecord, log_record};
 
@@ -28,7 +28,7 @@
 /// What is done with an item next.
 enum NextStep {
     /// It runs at a target.
-    Run(RunningSlot),
+    Run(SlotGuard),
     /// Its text is whole: only the reward call is missing.
     Reward,
 }
@@ -124,27 +124,31 @@
     }
 }
 
-const fn cancelled() -> RunEnd {
-    RunEnd { outcome: RunOutcome::Cut, events: Vec::new(), logged: 0 }
+const fn cancelled() -> RunResult {
+    RunResult { outcome: RunOutcome::Cut, events: Vec::new(), logged: 0 }
 }
 
 /// A target for the item, or the reward call; or why the item has to wait.
-fn next_step(ctx: &ShardContext, shard: ShardIndex, spec: &RunSpec) -> Result<NextStep, StartHold> {
+fn next_step(
+    ctx: &ShardContext,
+    shard: ShardIndex,
+    spec: &RunSpec,
+) -> Result<NextStep, BlockReason> {
     if spec.whole {
         return Ok(NextStep::Reward);
     }
-    if !ctx.view.pool.has_room() {
-        return Err(StartHold::NoConnections);
+    if !ctx.view.pool.has_capacity() {
+        return Err(BlockReason::NoConnections);
     }
-    let service = item_service(ctx, spec).ok_or(StartHold::NoRoute)?;
+    let service = item_service(ctx, spec).ok_or(BlockReason::NoRoute)?;
     let work = spec_work(spec);
-    let WorkGate::Open(barred) = ctx.view.gate(work, &service, true) else {
-        return Err(StartHold::Condemned);
+    let WorkAdmission::Open(barred) = ctx.view.gate(work, &service, true) else {
+        return Err(BlockReason::Quarantined);
     };
     let company = ctx.view.suspects().company(work);
     let model: Option<ModelName> = spec.job.model.parse().ok();
     let floor = ModelVersion::new(spec.job.min_version);
-    let need = ChoiceNeed {
+    let need = TargetRequirements {
         model: model.as_ref().map(|model| (model, floor)),
         free_slot: true,
         fast: true,
@@ -156,20 +160,20 @@
     let mut board = ctx.view.board();
     // Apart from other work under suspicion where that is possible.
     let apart = [barred.as_slice(), company.places.as_slice()].concat();
-    let apart = ChoiceNeed { avoid: &apart, ..need };
+    let apart = TargetRequirements { avoid: &apart, ..need };
     let slot = board.choose(now, &service, &apart, &mut rng);
     let slot = slot.or_else(|| board.choose(now, &service, &need, &mut rng));
     if let Some(slot) = slot {
         drop(board);
-        return Ok(NextStep::Run(RunningSlot::new(&ctx.view, work, slot)));
+        return Ok(NextStep::Run(SlotGuard::new(&ctx.view, work, slot)));
     }
     Err(match board.shortage(now, &service, &need, &mut rng) {
-        TargetShortage::OldVersion => StartHold::OldWeights,
-        TargetShortage::Loading => StartHold::Loading,
-        TargetShortage::Resting => StartHold::Resting,
-        TargetShortage::Full => StartHold::Full,
-        TargetShortage::Cold => StartHold::Cold,
-        TargetShortage::Evacuated => StartHold::Evacuated,
+        NoTargetReason::OldVersion => BlockReason::OldWeights,
+        NoTargetReason::Loading => BlockReason::Loading,
+        NoTargetReason::BackedOff => BlockReason::BackedOff,
+        NoTargetReason::Full => BlockReason::Full,
+        NoTargetReason::Cold => BlockReason::Cold,
+        NoTargetReason::Evacuated => BlockReason::Evacuated,
     })
 }
 
@@ -188,14 +192,14 @@
 }
 
 async fn reward_item(ctx: &Arc<ShardContext>, keeper: &Arc<ShardKeeper>, spec: &RunSpec) {
-    let known = keeper.book().known_score(&spec.item);
+    let known = keeper.book().cached_score(&spec.item);
     let reward = spec.request().and_then(|request| request.reward.as_ref());
     let end = match (known, reward) {
-        (Some(score), _) => RewardEnd::Scored(score),
-        (None, None) => RewardEnd::Scored(String::new()),
+        (Some(score), _) => RewardOutcome::Scored(score),
+        (None, None) => RewardOutcome::Scored(String::new()),
         (None, Some(reward)) => call_reward(ctx, reward).await,
     };
-    let failed = matches!(end, RewardEnd::Failed { .. });
+    let failed = matches!(end, RewardOutcome::Failed { .. });
     let record = keeper.book().scored(ctx.view.now(), &spec.item, end);
     keeper.log(record.into_iter().collect());
     if failed {
--- a/crates/shards/src/followers.rs
+++ b/crates/shards/src/followers.rs
@@ -4,7 +4,7 @@
 //! some have come or gone, divided only when the numbers change, and a look touches those that follow a model alone.
 
 use ids::{InstanceId, ModelName, ServiceName};
-use routing::TargetBoard;
+use routing::TargetTable;
 use swaps::{EngineRanking, divide_engines, needed_engines};
 
 /// Part that a model's need of engines loses at a look when its work has become less. Engines that are let go
@@ -29,7 +29,7 @@
     /// Takes what is known now; `work` is that of each of `models`.
     pub fn look(
         &mut self,
-        board: &TargetBoard,
+        board: &TargetTable,
         service: &ServiceName,
         models: &[ModelName],
         work: &[f64],
@@ -50,7 +50,7 @@
         }
     }
 
-    fn rank(&mut self, board: &TargetBoard, service: &ServiceName, models: &[ModelName]) {
+    fn rank(&mut self, board: &TargetTable, service: &ServiceName, models: &[ModelName]) {
         let evacuated = board.evacuated();
         // An engine of a domain that is to be emptied loads when it is in use again.
         let in_use = board
--- a/crates/shards/src/forming.rs
+++ b/crates/shards/src/forming.rs
@@ -5,11 +5,12 @@
 
 use ids::ShardIndex;
 use joblog::{
-    CopyHolder, DutyIntent, DutyView, EpochFormer, EpochId, FormFault, FormStep, PlanWrite,
-    ReadPlan, ShardDuty, ShardPlan, first_ranked, shard_duty,
+    EpochId, EpochTakeover, PlanWriteOutcome, ReadPlan, ShardPlan, StorageBox, TakeoverDecision,
+    TakeoverError, TakeoverPreference, TakeoverStep, TakeoverView, decide_takeover,
+    rank_initial_servers,
 };
 use node::StoreCall;
-use node::duties::{DutyBoard, PlanSighting, shard_object};
+use node::duties::{AssignmentTable, ObservedPlan, shard_object};
 use platform::{Kind, StoreError};
 use rand::Rng;
 use tokio::sync::mpsc;
@@ -44,7 +45,7 @@
                     continue;
                 }
                 Err(fault) => {
-                    if fault == FormFault::Superseded {
+                    if fault == TakeoverError::Superseded {
                         keeper.reset();
                     }
                     log::info!(target: "shard", shard = shard.get(), why:% = fault; "not taken");
@@ -96,30 +97,32 @@
     };
     let plan = sighting.map(|sighting| &sighting.plan);
     let server = plan.and_then(ShardPlan::server);
-    let view = DutyView {
+    let view = TakeoverView {
         me: &ctx.me.box_id,
         plan,
         has_copy: plan.is_some_and(|plan| ctx.copies.folder().has(shard, &plan.epoch)),
         lost_before: plan.map_or(0, |plan| lost_before(ctx, shard, plan)),
-        server_silent: sighting.map(|told| server_silence(ctx, shard, told)).unwrap_or_default(),
+        server_unresponsive_for: sighting
+            .map(|told| server_silence(ctx, shard, told))
+            .unwrap_or_default(),
         server_restarts: server.is_some_and(|server| ctx.peers.restarts(&server.box_id)),
         first_rank: if plan.is_none() { first_rank(ctx, shard, &duties) } else { 0 },
         no_plan_for,
         intent: if keeper.take_asked() {
-            DutyIntent::Asked
+            TakeoverPreference::Asked
         } else if ctx.is_leaving() {
-            DutyIntent::Leaves
+            TakeoverPreference::Leaves
         } else {
-            DutyIntent::Stays
+            TakeoverPreference::Stays
         },
     };
-    shard_duty(&view) == ShardDuty::Take
+    decide_takeover(&view) == TakeoverDecision::Take
 }
 
 /// Place of this box among those that could begin the shard.
-fn first_rank(ctx: &ShardContext, shard: ShardIndex, duties: &DutyBoard) -> usize {
-    let boxes: Vec<CopyHolder> = duties.at_work().into_iter().cloned().collect();
-    let ranked = first_ranked(shard, &boxes);
+fn first_rank(ctx: &ShardContext, shard: ShardIndex, duties: &AssignmentTable) -> usize {
+    let boxes: Vec<StorageBox> = duties.at_work().into_iter().cloned().collect();
+    let ranked = rank_initial_servers(shard, &boxes);
     ranked.iter().position(|copy| copy.box_id == ctx.me.box_id).unwrap_or(boxes.len())
 }
 
@@ -140,7 +143,7 @@
 
 /// How long the plan's server has not said that it serves the shard. A plan that was just learnt: its
 /// server has had no time to tell.
-fn server_silence(ctx: &ShardContext, shard: ShardIndex, sighting: &PlanSighting) -> Duration {
+fn server_silence(ctx: &ShardContext, shard: ShardIndex, sighting: &ObservedPlan) -> Duration {
     let now = ctx.view.now();
     let plan = &sighting.plan;
     let Some(server) = plan.server() else { return Duration::ZERO };
@@ -158,7 +161,7 @@
     let (sender, work) = mpsc::channel(QUEUE);
     let ended = CancellationToken::new();
     let epoch = log.epoch.clone();
-    let partners: Vec<CopyHolder> = log.partners.clone();
+    let partners: Vec<StorageBox> = log.partners.clone();
     let counts = keeper.book().counts();
     log::info!(
         target: "shard", shard = keeper.shard().get(), epoch:% = epoch, jobs = counts.jobs,
@@ -197,7 +200,7 @@
 }
 
 /// Returns once a box with a copy is to be emptied.
-async fn partner_leaves(ctx: &ShardContext, partners: &[CopyHolder]) {
+async fn partner_leaves(ctx: &ShardContext, partners: &[StorageBox]) {
     loop {
         time::sleep(LOOK_EVERY).await;
         let retiring = ctx.retiring().clone();
@@ -207,50 +210,50 @@
     }
 }
 
-/// Forms a new epoch that this box serves, by the steps of [`EpochFormer`].
+/// Forms a new epoch that this box serves, by the steps of [`EpochTakeover`].
 async fn form_epoch(
     ctx: &Arc<ShardContext>,
     keeper: &Arc<ShardKeeper>,
-) -> Result<(EpochLog, ResultPlaces), FormFault> {
+) -> Result<(EpochLog, ResultPlaces), TakeoverError> {
     let shard = keeper.shard();
     let number = u64::from(rand::rng().random::<u32>());
-    let mut former = EpochFormer::new(ctx.me.clone(), number, keeper.book_epoch());
+    let mut former = EpochTakeover::new(ctx.me.clone(), number, keeper.book_epoch());
     let mut copy = None;
     loop {
-        if former.wants_partners() {
+        if former.needs_partners() {
             former.partners(ctx.choose_copies(shard));
         }
         match former.step() {
-            FormStep::ReadPlan => former.plan_read(read_plan(ctx, shard).await),
-            FormStep::BeginEmpty => {
+            TakeoverStep::ReadPlan => former.plan_read(read_plan(ctx, shard).await),
+            TakeoverStep::BeginEmpty => {
                 keeper.reset();
-                former.base_read(true);
+                former.base_loaded(true);
             }
-            FormStep::CloseAndRead(epoch) => {
-                former.base_read(close_and_read(ctx, keeper, epoch).await);
+            TakeoverStep::CloseAndRead(epoch) => {
+                former.base_loaded(close_and_read(ctx, keeper, epoch).await);
             }
-            FormStep::Copy { epoch, partners } => {
-                keeper.book().close_log();
+            TakeoverStep::Copy { epoch, partners } => {
+                keeper.book().suspend_appends();
                 keeper.set_forming(true);
                 copy = copy_book(ctx, keeper, &epoch, &partners).await;
                 keeper.set_forming(false);
                 former.copied(copy.is_some());
             }
-            FormStep::WritePlan { base, plan } => {
+            TakeoverStep::WritePlan { base, plan } => {
                 let end = write_plan(ctx, shard, base, &plan).await;
-                if end == PlanWrite::NoAnswer {
+                if end == PlanWriteOutcome::NoAnswer {
                     time::sleep(RETRY_PAUSE).await;
                 }
                 former.written(end);
             }
-            FormStep::CheckPlan => {
+            TakeoverStep::CheckPlan => {
                 let read = read_plan(ctx, shard).await;
                 if read.is_err() {
                     time::sleep(RETRY_PAUSE).await;
                 }
                 former.plan_read(read);
             }
-            FormStep::Serve { revision, plan } => {
+            TakeoverStep::Serve { revision, plan } => {
                 let (epoch, partners) = (plan.epoch.clone(), plan.copies[1..].to_vec());
                 note_plan(ctx, shard, ReadPlan { revision, plan });
                 ctx.copies.clean(shard, epoch.clone()).await;
@@ -258,14 +261,14 @@
                 let log = EpochLog { epoch, file: copy.map(|copy| copy.file), partners };
                 return Ok((log, places));
             }
-            FormStep::Fail(fault) => return Err(fault),
+            TakeoverStep::Fail(fault) => return Err(fault),
         }
     }
 }
 
 fn note_plan(ctx: &ShardContext, shard: ShardIndex, read: ReadPlan) {
     let seen_at = ctx.view.now();
-    let sighting = PlanSighting { revision: read.revision, plan: read.plan, seen_at };
+    let sighting = ObservedPlan { revision: read.revision, plan: read.plan, seen_at };
     ctx.view.duties().put_plan(shard, sighting);
 }
 
@@ -311,7 +314,7 @@
     shard: ShardIndex,
     base: Option<u64>,
     plan: &ShardPlan,
-) -> PlanWrite {
+) -> PlanWriteOutcome {
     let name = shard_object(shard);
     ctx.view.metrics.store_call(Kind::Duties, StoreCall::Write);
     let written = match base {
@@ -319,11 +322,11 @@
         None => ctx.view.store.create(Kind::Duties, &name, plan).await,
     };
     match written {
-        Ok(revision) => PlanWrite::Done(revision),
-        Err(StoreError::Conflict(_)) => PlanWrite::Conflict,
+        Ok(revision) => PlanWriteOutcome::Done(revision),
+        Err(StoreError::Conflict(_)) => PlanWriteOutcome::Conflict,
         Err(error) => {
             log::warn!(target: "shard", shard = shard.get(), error:% = error; "plan not written");
-            PlanWrite::NoAnswer
+            PlanWriteOutcome::NoAnswer
         }
     }
 }
--- a/crates/shards/src/handler.rs
+++ b/crates/shards/src/handler.rs
@@ -3,17 +3,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ids::{JobId, RecordPlace, ShardIndex};
+use ids::{JobId, RecordLocation, ShardIndex};
 use joblog::{CopyError, EpochId};
-use jobs::{BookPage, reason};
-use links::{AnswerEnd, AnswerSink, PeerHandler};
+use jobs::{ResultsPage, reason};
+use links::{PeerHandler, ResponseEnd, ResponseSink};
 use node::feed::serve_feed;
 use tokio::time::{self, Instant};
 use tokio_util::sync::CancellationToken;
 use wire::peer::{
-    Beat, EngineLoad, Item, Job, JobAccepted, JobBody, JobBytes, JobEnd, JobEnded, JobPage,
-    JobRead, ListedResult, LogAppend, LogCopy, LogRecord, LogSynced, Refused, RefusedKind, Request,
-    ShardAnswer, ShardHandOver, item, log_record, request, shard_answer, shard_request,
+    BoxHeartbeat, ItemBody, ItemBodyRead, Job, JobAccepted, JobEnd, JobEnded, JobPage, JobRead,
+    ListedResult, LogAppend, LogCopy, LogRecord, LogSynced, Refused, RefusedKind, Request,
+    ResponseItem, ShardHandOver, ShardResponse, WeightLoad, log_record, request, response_item,
+    shard_request, shard_response,
 };
 
 use crate::account::log_account;
@@ -37,10 +38,10 @@
     keepers: Arc<KeeperSet>,
 }
 
-type Answered = Result<shard_answer::Body, Refused>;
+type Answered = Result<shard_response::Body, Refused>;
 
 impl PeerHandler for ShardHandler {
-    async fn request(&self, request: Request, mut sink: AnswerSink, cancel: CancellationToken) {
+    async fn request(&self, request: Request, mut sink: ResponseSink, cancel: CancellationToken) {
         let Some(request::Body::Shard(asked)) = request.body else {
             return sink.refuse(wrong("this box keeps shards of jobs: ask an entry box")).await;
         };
@@ -52,29 +53,29 @@
             () = cancel.cancelled() => return,
         };
         match answered {
-            Ok(shard_answer::Body::Page(page)) => {
+            Ok(shard_response::Body::Page(page)) => {
                 for piece in page_pieces(page) {
-                    let body = shard_answer::Body::Page(piece);
+                    let body = shard_response::Body::Page(piece);
                     if !sink.item(shard_item(body)).await {
                         return;
                     }
                 }
-                sink.end(AnswerEnd::default()).await;
+                sink.end(ResponseEnd::default()).await;
             }
             Ok(body) => {
                 if sink.item(shard_item(body)).await {
-                    sink.end(AnswerEnd::default()).await;
+                    sink.end(ResponseEnd::default()).await;
                 }
             }
             Err(refused) => sink.refuse(refused).await,
         }
     }
 
-    async fn beat(&self, _beat: Beat) {}
+    async fn beat(&self, _beat: BoxHeartbeat) {}
 }
 
-fn shard_item(body: shard_answer::Body) -> Item {
-    Item { body: Some(item::Body::Shard(ShardAnswer { body: Some(body) })) }
+fn shard_item(body: shard_response::Body) -> ResponseItem {
+    ResponseItem { body: Some(response_item::Body::Shard(ShardResponse { body: Some(body) })) }
 }
 
 /// A page in pieces of some [`PIECE_BYTES`], the first one even if it holds no result: a
@@ -124,8 +125,8 @@
 
 /// The answer to a job that is held under `id`, perhaps as another customer's.
 fn accepted(keeper: &ShardKeeper, id: &JobId, customer: &str, known: bool) -> Answered {
-    if !keeper.book().is_others(id, customer) {
-        return Ok(shard_answer::Body::Accepted(JobAccepted { known }));
+    if !keeper.book().belongs_to_other_customer(id, customer) {
+        return Ok(shard_response::Body::Accepted(JobAccepted { known }));
     }
     log::warn!(target: "jobs", job:% = id, customer = customer, outcome = "id taken"; "job refused");
     let message = "the id is in use: send the job under an id of its own";
@@ -164,14 +165,14 @@
                 None => Err(wrong("the job is missing: send it")),
             },
             shard_request::Body::Read(read) => self.read(read).await,
-            shard_request::Body::BodyOf(asked) => self.item_body(&asked).await,
+            shard_request::Body::ItemBodyRead(asked) => self.item_body(&asked).await,
             shard_request::Body::End(end) => self.end(&end).await,
             shard_request::Body::Append(append) => self.append(append).await,
             shard_request::Body::Copy(copy) => self.copy(copy).await,
-            shard_request::Body::Beat(beat) => {
+            shard_request::Body::Heartbeat(beat) => {
                 take_beat(&self.ctx, &beat);
                 self.hear_loads(&beat.loads);
-                Ok(shard_answer::Body::Beat(own_beat(&self.ctx, self.keepers.all())))
+                Ok(shard_response::Body::Heartbeat(own_beat(&self.ctx, self.keepers.all())))
             }
             shard_request::Body::HandOver(hand_over) => self.hand_over(&hand_over),
             shard_request::Body::Served(asked) => {
@@ -179,15 +180,15 @@
                 if !asked.job.is_empty() && !holds(keeper, &asked.job) {
                     return Err(not_known());
                 }
-                Ok(shard_answer::Body::Synced(LogSynced::default()))
+                Ok(shard_response::Body::Synced(LogSynced::default()))
             }
             shard_request::Body::Feed(read) => {
-                Ok(shard_answer::Body::Feed(serve_feed(&self.ctx.view, &read).await))
+                Ok(shard_response::Body::Feed(serve_feed(&self.ctx.view, &read).await))
             }
         }
     }
 
-    fn hear_loads(&self, loads: &[EngineLoad]) {
+    fn hear_loads(&self, loads: &[WeightLoad]) {
         if loads.is_empty() {
             return;
         }
@@ -228,14 +229,14 @@
         let id: JobId = read.job.parse().map_err(|_fault| not_known())?;
         let wait = Duration::from_millis(u64::from(read.wait_ms)).min(MOST_WAIT);
         let until = Instant::now() + wait;
-        let most = usize::try_from(read.most_bytes).unwrap_or(usize::MAX);
+        let most = usize::try_from(read.max_bytes).unwrap_or(usize::MAX);
         let mut changes = keeper.changes();
         loop {
             if !keeper.book().may_ask(&id, &read.customer) {
                 return Err(self.surely_unknown(keeper).await);
             }
             let page = keeper.book().page(&id, read.from, most);
-            let Some(BookPage { page, on_disk }) = page else {
+            let Some(ResultsPage { page, on_disk }) = page else {
                 return Err(self.surely_unknown(keeper).await);
             };
             let whole = u32::try_from(page.results.len()).unwrap_or(u32::MAX);
@@ -258,7 +259,7 @@
     async fn page(
         keeper: &ShardKeeper,
         mut page: JobPage,
-        on_disk: Vec<(usize, RecordPlace)>,
+        on_disk: Vec<(usize, RecordLocation)>,
     ) -> Answered {
         let places = on_disk.iter().map(|(_, place)| *place).collect();
         let Some(records) = keeper.load(places).await else { return Err(not_kept()) };
@@ -273,7 +274,7 @@
                 _ => return Err(not_kept()),
             }
         }
-        if keeper.is_proven() { Ok(shard_answer::Body::Page(page)) } else { Err(not_kept()) }
+        if keeper.is_proven() { Ok(shard_response::Body::Page(page)) } else { Err(not_kept()) }
     }
 
     /// The refusal for a job that is not held, once it is certain that no other box has taken it.
@@ -284,7 +285,7 @@
         }
     }
 
-    async fn item_body(&self, asked: &JobBody) -> Answered {
+    async fn item_body(&self, asked: &ItemBodyRead) -> Answered {
         let keeper = self.served(asked.shard)?;
         let id: JobId = asked.job.parse().map_err(|_fault| not_known())?;
         let (known, body) = {
@@ -293,7 +294,7 @@
             (known, book.body(&id, &asked.item).filter(|_| known))
         };
         match body {
-            Some(body) => Ok(shard_answer::Body::Bytes(JobBytes { body })),
+            Some(body) => Ok(shard_response::Body::Bytes(ItemBody { body })),
             None if known => {
                 let message = "the job has no such item: check its id";
                 Err(refused(RefusedKind::BadRequest, reason::NO_ITEM, message))
@@ -322,7 +323,7 @@
             "job ended"
         );
         logged?;
-        Ok(shard_answer::Body::Ended(JobEnded {}))
+        Ok(shard_response::Body::Ended(JobEnded {}))
     }
 
     async fn append(&self, append: LogAppend) -> Answered {
@@ -347,7 +348,7 @@
         let keeper = self.keeper(hand_over.shard)?;
         log::info!(target: "shard", shard = hand_over.shard, token = hand_over.token; "asked to serve");
         keeper.ask();
-        Ok(shard_answer::Body::Synced(LogSynced::default()))
+        Ok(shard_response::Body::Synced(LogSynced::default()))
     }
 }
 
@@ -358,7 +359,7 @@
 
 fn synced(done: Option<Result<u64, CopyError>>) -> Answered {
     match done {
-        Some(Ok(length)) => Ok(shard_answer::Body::Synced(LogSynced { length })),
+        Some(Ok(length)) => Ok(shard_response::Body::Synced(LogSynced { length })),
         Some(Err(error)) => Err(refused(RefusedKind::Unknown, "disk", &error.to_string())),
         None => {
             let message = "the epoch is not open here: form a new one";
--- a/crates/shards/src/keeper.rs
+++ b/crates/shards/src/keeper.rs
@@ -5,9 +5,9 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use ids::{FencingToken, JobId, Moment, RecordPlace, ShardIndex};
+use ids::{FencingToken, JobId, Moment, RecordLocation, ShardIndex};
 use joblog::EpochId;
-use jobs::JobBook;
+use jobs::JobTable;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio_util::sync::CancellationToken;
 use wire::peer::LogRecord;
@@ -41,7 +41,7 @@
 pub struct ShardKeeper {
     shard: ShardIndex,
     ctx: Arc<ShardContext>,
-    book: Mutex<JobBook>,
+    book: Mutex<JobTable>,
     serving: Mutex<Option<ServedEpoch>>,
     /// When all copies last took an append, or a proof, under the epoch served.
     proven_at: Mutex<Option<Moment>>,
@@ -64,7 +64,7 @@
 impl ShardKeeper {
     /// A shard that is not served here.
     pub fn new(ctx: Arc<ShardContext>, shard: ShardIndex) -> Self {
-        let book = JobBook::new(ctx.settings.retention);
+        let book = JobTable::new(ctx.settings.retention);
         Self {
             shard,
             ctx,
@@ -85,14 +85,14 @@
     }
 
     /// The jobs; held only for a moment.
-    pub fn book(&self) -> MutexGuard<'_, JobBook> {
+    pub fn book(&self) -> MutexGuard<'_, JobTable> {
         lock(&self.book)
     }
 
     /// Forgets all jobs and breaks their runs off.
     pub fn reset(&self) {
         self.cancel_all_runs();
-        *self.book() = JobBook::new(self.ctx.settings.retention);
+        *self.book() = JobTable::new(self.ctx.settings.retention);
         self.set_book_epoch(None);
     }
 
@@ -119,12 +119,12 @@
     }
 
     /// Begins to serve under an epoch, with the places of results in its copy.
-    pub fn begin(&self, served: ServedEpoch, places: &[(JobId, u32, RecordPlace)]) {
+    pub fn begin(&self, served: ServedEpoch, places: &[(JobId, u32, RecordLocation)]) {
         *lock(&self.proven_at) = None;
         self.set_book_epoch(Some(served.epoch.clone()));
         let mut book = self.book();
         book.relocate(places);
-        book.open_log();
+        book.resume_appends();
         drop(book);
         *lock(&self.serving) = Some(served);
         self.wake();
@@ -135,7 +135,7 @@
         let served = lock(&self.serving).take();
         if let Some(served) = &served {
             served.ended.cancel();
-            self.book().close_log();
+            self.book().suspend_appends();
         }
         self.wake();
         served.is_some()
@@ -159,7 +159,7 @@
     }
 
     /// Applies records that are on all copies, each with its place in this box's copy.
-    pub fn apply(&self, records: Vec<(LogRecord, RecordPlace)>) {
+    pub fn apply(&self, records: Vec<(LogRecord, RecordLocation)>) {
         let now = self.ctx.view.now();
         let first = lock(&self.proven_at).replace(now).is_none();
         if first {
@@ -179,7 +179,7 @@
     }
 
     /// Reads whole records back from this box's copy; `None` when they cannot be read.
-    pub async fn load(&self, places: Vec<RecordPlace>) -> Option<Vec<LogRecord>> {
+    pub async fn load(&self, places: Vec<RecordLocation>) -> Option<Vec<LogRecord>> {
         if places.is_empty() {
             return Some(Vec::new());
         }
--- a/crates/shards/src/keepers.rs
+++ b/crates/shards/src/keepers.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use ids::ShardIndex;
-use joblog::{ShardLayout, TAKE_AFTER};
+use joblog::{ShardLayout, TAKEOVER_TIMEOUT};
 use node::StoreCall;
-use node::duties::{DutySink, LAYOUT_NAME};
+use node::duties::{AssignmentSink, LAYOUT_NAME};
 use node::follow::KindSink;
 use platform::{Changed, Kind, StoreError};
 use tokio::time::{self, Instant};
@@ -75,7 +75,7 @@
     let boxes: Vec<_> = duties.boxes().map(|copy| copy.box_id.clone()).collect();
     let ranked = coord::rendezvous::ranked(LAYOUT_NAME, &boxes, boxes.len());
     let rank = ranked.iter().position(|box_id| **box_id == ctx.me.box_id)?;
-    let patience = COUNT_AFTER + TAKE_AFTER * u32::try_from(rank).unwrap_or(u32::MAX);
+    let patience = COUNT_AFTER + TAKEOVER_TIMEOUT * u32::try_from(rank).unwrap_or(u32::MAX);
     let layout = ShardLayout::for_boxes(boxes.len(), ctx.settings.copies);
     (waited >= patience).then_some(layout)
 }
@@ -92,7 +92,7 @@
     ctx.view.metrics.store_call(Kind::Duties, StoreCall::Read);
     match ctx.view.store.get(Kind::Duties, LAYOUT_NAME).await {
         Ok(Some(stored)) => {
-            DutySink(Arc::clone(&ctx.view)).changed(&Changed::Put(stored));
+            AssignmentSink(Arc::clone(&ctx.view)).changed(&Changed::Put(stored));
             return;
         }
         Ok(None) => {}
--- a/crates/shards/src/loads.rs
+++ b/crates/shards/src/loads.rs
@@ -9,11 +9,11 @@
 use std::time::Duration;
 
 use ids::{BoxId, InstanceId, ModelName, ModelVersion, Moment};
-use joblog::CopyHolder;
-use routing::TargetBoard;
+use joblog::StorageBox;
+use routing::TargetTable;
 use tokio::sync::Notify;
 use tokio::time;
-use wire::peer::EngineLoad;
+use wire::peer::WeightLoad;
 
 use crate::context::ShardContext;
 use crate::keepers::KeeperSet;
@@ -64,10 +64,10 @@
     }
 
     /// The loads that are under way or ended a moment ago.
-    pub fn told(&self, now: Moment) -> Vec<EngineLoad> {
+    pub fn told(&self, now: Moment) -> Vec<WeightLoad> {
         let mut loads = self.lock();
         loads.retain(|_, state| state.ended.is_none_or(|(at, _)| now.since(at) < ENDED_TIME));
-        let told = loads.iter().map(|(engine, state)| EngineLoad {
+        let told = loads.iter().map(|(engine, state)| WeightLoad {
             target: engine.to_string(),
             model: state.model.to_string(),
             version: state.version.get(),
@@ -79,13 +79,13 @@
 }
 
 /// The loads that a box is told: those that run no items need none.
-pub fn told_loads(ctx: &ShardContext, other: &BoxId) -> Vec<EngineLoad> {
+pub fn told_loads(ctx: &ShardContext, other: &BoxId) -> Vec<WeightLoad> {
     let serves = ctx.view.duties().servers().any(|server| server.box_id == *other);
     if serves { ctx.loads.told(ctx.view.now()) } else { Vec::new() }
 }
 
 /// Takes what another box tells of its loads.
-pub fn hear_loads(board: &mut TargetBoard, now: Moment, loads: &[EngineLoad]) {
+pub fn hear_loads(board: &mut TargetTable, now: Moment, loads: &[WeightLoad]) {
     for load in loads {
         let (Ok(engine), Ok(model)) = (load.target.parse(), load.model.parse()) else { continue };
         if load.holds {
@@ -100,7 +100,7 @@
     loop {
         ctx.loads.changed.notified().await;
         time::sleep(GATHER).await;
-        let others: HashMap<BoxId, CopyHolder> = {
+        let others: HashMap<BoxId, StorageBox> = {
             let duties = ctx.view.duties();
             let others = duties.servers().filter(|server| server.box_id != ctx.me.box_id);
             others.map(|server| (server.box_id.clone(), server.clone())).collect()
--- a/crates/shards/src/log_writer.rs
+++ b/crates/shards/src/log_writer.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 use futures::future::join_all;
-use ids::{RecordPlace, ShardIndex};
-use joblog::{CopyHolder, EpochId, LogCopyFile, encode_record};
+use ids::{RecordLocation, ShardIndex};
+use joblog::{EpochId, LogCopyFile, StorageBox, encode_record};
 use links::CallError;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time;
-use wire::peer::{LogAppend, LogRecord, shard_answer, shard_request};
+use wire::peer::{LogAppend, LogRecord, shard_request, shard_response};
 
 use crate::context::ShardContext;
 use crate::copies::on_disk;
@@ -43,7 +43,7 @@
     /// This box's copy.
     pub file: Option<LogCopyFile>,
     /// The other copies.
-    pub partners: Vec<CopyHolder>,
+    pub partners: Vec<StorageBox>,
 }
 
 /// Writes rounds until one fails or nobody can send work any more. Whatever a failed round held
@@ -88,7 +88,7 @@
 
 #[derive(Default)]
 struct LogRound {
-    records: Vec<(LogRecord, RecordPlace)>,
+    records: Vec<(LogRecord, RecordLocation)>,
     bytes: Vec<u8>,
     waiters: Vec<oneshot::Sender<()>>,
 }
@@ -144,11 +144,11 @@
 
 /// Appends to the copy of another box. What got no answer is sent again while the store is away:
 /// no new epoch can be formed then, by nobody. A box that has closed the copy refuses.
-async fn append_at(ctx: &ShardContext, partner: &CopyHolder, append: LogAppend) -> bool {
+async fn append_at(ctx: &ShardContext, partner: &StorageBox, append: LogAppend) -> bool {
     loop {
         let body = shard_request::Body::Append(append.clone());
         let error = match ctx.ask(&partner.address, ROUND_TIME, body).await {
-            Ok(shard_answer::Body::Synced(_)) => return true,
+            Ok(shard_response::Body::Synced(_)) => return true,
             Ok(_) => CallError::Broken { why: "an answer of another kind" },
             Err(error) => error,
         };
--- a/crates/shards/src/order.rs
+++ b/crates/shards/src/order.rs
@@ -191,7 +191,7 @@
     *request.headers_mut() = sent;
     let asked = async {
         // These answers name no request, so none may ride behind another's.
-        let answer = ctx.view.pool.send_fresh(spec.target.address, request).await?;
+        let answer = ctx.view.pool.send_on_new_connection(spec.target.address, request).await?;
         answer.whole(MOST_ANSWER).await
     };
     match time::timeout(ANSWER_TIME, asked).await {
--- a/crates/shards/src/peers.rs
+++ b/crates/shards/src/peers.rs
@@ -8,14 +8,14 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use coord::lease::LeaseNote;
+use coord::lease::LeaseReport;
 use ids::{BoxId, FencingToken, Moment, ShardIndex};
-use joblog::CopyHolder;
+use joblog::StorageBox;
 use links::CallError;
 use node::wall_time;
 use tokio::time;
 use usage::UnixTime;
-use wire::peer::{ServedShard, ShardBeat, shard_answer, shard_request};
+use wire::peer::{ServedShard, ShardHeartbeat, shard_request, shard_response};
 
 use crate::context::ShardContext;
 use crate::keeper::ShardKeeper;
@@ -56,7 +56,7 @@
     /// When a box last said that it serves a shard, and under which token.
     served: HashMap<(ShardIndex, BoxId), (FencingToken, Moment)>,
     /// What the holder of a lease last said of its writes.
-    notes: HashMap<String, LeaseNote>,
+    notes: HashMap<String, LeaseReport>,
     /// When a box last refused connections.
     refused: HashMap<BoxId, Moment>,
     /// When a box last said that it makes new copies of a shard.
@@ -89,7 +89,7 @@
     }
 
     /// Takes what a box says of itself.
-    pub fn heard(&self, now: Moment, beat: &ShardBeat) {
+    pub fn heard(&self, now: Moment, beat: &ShardHeartbeat) {
         let Ok(box_id) = beat.box_id.parse::<BoxId>() else { return };
         let mut states = self.lock();
         let state = PeerState { heard_at: now, leaving: beat.leaving };
@@ -98,10 +98,10 @@
             let key = (ShardIndex::new(served.shard), box_id.clone());
             states.served.insert(key, (FencingToken::new(served.token), now));
         }
-        for shard in &beat.forming {
+        for shard in &beat.taking_over {
             states.forming.insert((ShardIndex::new(*shard), box_id.clone()), now);
         }
-        for lacking in &beat.lacking {
+        for lacking in &beat.missing_copies {
             let key = (ShardIndex::new(lacking.shard), box_id.clone());
             states.lacking.insert(key, (FencingToken::new(lacking.token), now));
         }
@@ -112,7 +112,7 @@
                 continue;
             }
             let note =
-                LeaseNote { holder: box_id.clone(), token, write: held.write, heard_at: now };
+                LeaseReport { holder: box_id.clone(), token, write: held.write, heard_at: now };
             states.notes.insert(held.name.clone(), note);
         }
     }
@@ -146,7 +146,7 @@
     }
 
     /// What the holder of a lease last said of its writes.
-    pub fn lease_note(&self, name: &str) -> Option<LeaseNote> {
+    pub fn lease_note(&self, name: &str) -> Option<LeaseReport> {
         self.lock().notes.get(name).cloned()
     }
 
@@ -222,7 +222,7 @@
 }
 
 /// What this box says of itself.
-pub fn own_beat(ctx: &ShardContext, keepers: &[Arc<ShardKeeper>]) -> ShardBeat {
+pub fn own_beat(ctx: &ShardContext, keepers: &[Arc<ShardKeeper>]) -> ShardHeartbeat {
     let served = keepers.iter().filter_map(|keeper| {
         let token = keeper.served_token()?;
         Some(ServedShard { shard: keeper.shard().get(), token: token.get() })
@@ -231,9 +231,9 @@
         let token = ctx.lost_copy(keeper.shard())?;
         Some(ServedShard { shard: keeper.shard().get(), token: token.get() })
     });
-    ShardBeat {
+    ShardHeartbeat {
         box_id: ctx.me.box_id.to_string(),
-        lacking: lacking.collect(),
+        missing_copies: lacking.collect(),
         served: served.collect(),
         leaving: ctx.is_leaving(),
         domain: ctx.me.domain.to_string(),
@@ -242,7 +242,7 @@
         usage: Vec::new(),
         work: ctx.work.own(),
         loads: Vec::new(),
-        forming: keepers
+        taking_over: keepers
             .iter()
             .filter(|keeper| keeper.is_forming())
             .map(|keeper| keeper.shard().get())
@@ -251,7 +251,7 @@
 }
 
 /// Takes the beat of a box that calls this one.
-pub fn take_beat(ctx: &ShardContext, beat: &ShardBeat) {
+pub fn take_beat(ctx: &ShardContext, beat: &ShardHeartbeat) {
     hear_beat(ctx, beat);
     if let Ok(box_id) = beat.box_id.parse() {
         ctx.peers.beaten(ctx.view.now(), &box_id);
@@ -259,7 +259,7 @@
 }
 
 /// Takes what another box says of itself.
-pub fn hear_beat(ctx: &ShardContext, beat: &ShardBeat) {
+pub fn hear_beat(ctx: &ShardContext, beat: &ShardHeartbeat) {
     let now = ctx.view.now();
     ctx.peers.heard(now, beat);
     ctx.work.heard(now, beat);
@@ -267,7 +267,7 @@
     if let Ok(box_id) = beat.box_id.parse()
         && beat.wall_ms > 0
     {
-        ctx.view.usage.hear_time(now, &box_id, UnixTime::new(beat.wall_ms));
+        ctx.view.usage.record_peer_time(now, &box_id, UnixTime::new(beat.wall_ms));
     }
 }
 
@@ -277,7 +277,7 @@
 }
 
 /// The boxes that this one calls: those at work, if it is one of them itself.
-fn called_boxes(ctx: &ShardContext, now: Moment) -> Vec<CopyHolder> {
+fn called_boxes(ctx: &ShardContext, now: Moment) -> Vec<StorageBox> {
     let duties = ctx.view.duties();
     if ctx.peers.calls_standby(now) {
         let others = duties.boxes().filter(|copy| copy.box_id != ctx.me.box_id);
@@ -299,7 +299,7 @@
         turn += 1;
         let now = ctx.view.now();
         ctx.work.sample(keepers.all());
-        ctx.view.usage.hear_time(now, &ctx.me.box_id, wall_time());
+        ctx.view.usage.record_peer_time(now, &ctx.me.box_id, wall_time());
         ctx.view.usage.forget(now);
         for other in called_boxes(&ctx, now) {
             if ctx.peers.silent_long(now, &other.box_id) && !turn.is_multiple_of(SILENT_BEATS) {
@@ -318,7 +318,7 @@
 }
 
 /// Sends one beat, and takes what its answer says.
-pub async fn send_beat(ctx: Arc<ShardContext>, keepers: Arc<KeeperSet>, other: CopyHolder) {
+pub async fn send_beat(ctx: Arc<ShardContext>, keepers: Arc<KeeperSet>, other: StorageBox) {
     let asked_at = time::Instant::now();
     let mut beat = own_beat(&ctx, keepers.all());
     beat.loads = told_loads(&ctx, &other.box_id);
@@ -326,8 +326,8 @@
     if let Some((cells, _)) = &told {
         beat.usage.clone_from(cells);
     }
-    match ctx.ask(&other.address, BEAT_TIME, shard_request::Body::Beat(beat)).await {
-        Ok(shard_answer::Body::Beat(beat)) => {
+    match ctx.ask(&other.address, BEAT_TIME, shard_request::Body::Heartbeat(beat)).await {
+        Ok(shard_response::Body::Heartbeat(beat)) => {
             hear_beat(&ctx, &beat);
             if let Some((_, told)) = told {
                 ctx.usage_told.note(told);
--- a/crates/shards/src/replicas.rs
+++ b/crates/shards/src/replicas.rs
@@ -9,8 +9,8 @@
 use ids::{DomainId, FencingToken, ServiceName};
 use node::StoreCall;
 use platform::Kind;
-use platform::accounts::AccountError;
-use replicas::{GivenReplicas, OrderOutcome, ReplicaLimits, ReplicaOrder, ReplicaPlan};
+use platform::accounts::AccountingError;
+use replicas::{BaselineReplicas, OrderOutcome, ReplicaLimits, ReplicaOrder, ReplicaPlan};
 
 use crate::accounts::AccountDuty;
 
@@ -28,7 +28,7 @@
 
 #[derive(Debug, Default)]
 struct ServiceReplicas {
-    given: Option<GivenReplicas>,
+    given: Option<BaselineReplicas>,
     plan: ReplicaPlan,
 }
 
@@ -91,18 +91,18 @@
     duty: &AccountDuty,
     service: &ServiceName,
     listed: &BTreeMap<DomainId, u32>,
-) -> Option<GivenReplicas> {
+) -> Option<BaselineReplicas> {
     let view = &duty.ctx.view;
     let name = given_object(service);
     view.metrics.store_call(Kind::Leases, StoreCall::Read);
     let read = view.store.get(Kind::Leases, &name).await;
     let given = match read {
-        Ok(Some(stored)) => stored.parse::<GivenReplicas>().map_err(|error| error.to_string()),
+        Ok(Some(stored)) => stored.parse::<BaselineReplicas>().map_err(|error| error.to_string()),
         Ok(None) if listed.is_empty() || view.now().since(ids::Moment::START) < FIRST_LOOK => {
             return None;
         }
         Ok(None) => {
-            let given = GivenReplicas { domains: listed.clone() };
+            let given = BaselineReplicas { domains: listed.clone() };
             view.metrics.store_call(Kind::Leases, StoreCall::Write);
             let written = view.store.create(Kind::Leases, &name, &given).await;
             written.map(|_revision| given).map_err(|error| error.to_string())
@@ -137,12 +137,12 @@
     duty.note_call(sent);
     let outcome = match sent {
         Ok(()) => OrderOutcome::Taken,
-        Err(AccountError::NoneToBeHad | AccountError::Refused(_)) => OrderOutcome::NoneToBeHad,
-        Err(AccountError::NoAnswer | AccountError::NotNow(_)) => OrderOutcome::Failed,
+        Err(AccountingError::NoCapacity | AccountingError::Refused(_)) => OrderOutcome::NoCapacity,
+        Err(AccountingError::NoAnswer | AccountingError::Unavailable(_)) => OrderOutcome::Failed,
     };
     let word = match outcome {
         OrderOutcome::Taken => "taken",
-        OrderOutcome::NoneToBeHad => "none to be had",
+        OrderOutcome::NoCapacity => "none to be had",
         OrderOutcome::Failed => "failed",
     };
     duty.ctx.view.metrics.ended("replica_order", word);
--- a/crates/shards/src/reports.rs
+++ b/crates/shards/src/reports.rs
@@ -9,10 +9,10 @@
 
 use ids::{BoxId, FencingToken, Moment, ObjectVersion};
 use node::StoreCall;
-use platform::accounts::AccountError;
+use platform::accounts::AccountingError;
 use platform::{Kind, StoreError, Stored};
 use usage::{
-    FixedReport, ReportAction, ReportPlan, ReportTimes, SendOutcome, StoreOutcome, TableVersion,
+    ReportAction, ReportPlan, ReportTimes, SendOutcome, StoreOutcome, TableVersion, UsageReport,
     UsageWindow,
 };
 use wire::peer::UsageCell;
@@ -144,7 +144,7 @@
         all_heard: bool,
     ) -> bool {
         let counts = ctx.view.usage.totals(window);
-        let report = FixedReport { window, counts };
+        let report = UsageReport { window, counts };
         ctx.view.metrics.store_call(Kind::Leases, StoreCall::Write);
         let store = &ctx.view.store;
         let written = if expect == ObjectVersion::default() {
@@ -164,20 +164,20 @@
             Err(_) => StoreOutcome::Unsure,
         };
         let done = matches!(outcome, StoreOutcome::Holds(..));
-        self.plan.fix_done(outcome);
+        self.plan.commit_done(outcome);
         done
     }
 
-    async fn send(&mut self, duty: &mut AccountDuty, report: FixedReport) -> bool {
+    async fn send(&mut self, duty: &mut AccountDuty, report: UsageReport) -> bool {
         let Some(hand) = duty.hand() else { return false };
         let sent = duty.client.report_usage(&hand, report.window.get(), &report.counts).await;
         duty.note_call(sent);
         let (outcome, word) = match sent {
             Ok(()) => (SendOutcome::Taken, "taken"),
-            Err(AccountError::Refused(_) | AccountError::NoneToBeHad) => {
+            Err(AccountingError::Refused(_) | AccountingError::NoCapacity) => {
                 (SendOutcome::Refused, "refused")
             }
-            Err(AccountError::NoAnswer | AccountError::NotNow(_)) => {
+            Err(AccountingError::NoAnswer | AccountingError::Unavailable(_)) => {
                 (SendOutcome::Failed, "failed")
             }
         };
@@ -205,7 +205,7 @@
 }
 
 fn read_report(stored: &Stored) -> StoreOutcome {
-    match stored.parse::<FixedReport>() {
+    match stored.parse::<UsageReport>() {
         Ok(report) => StoreOutcome::Holds(ObjectVersion::new(stored.revision), report),
         Err(error) => {
             log::warn!(target: "usage", error:% = error; "last report refused");
--- a/crates/shards/src/reward.rs
+++ b/crates/shards/src/reward.rs
@@ -7,8 +7,8 @@
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
 use http::{HeaderMap, HeaderValue, Method, Uri};
-use jobs::{RewardEnd, RewardPlan};
-use node::{PlainCall, PlainEnd, call_plain};
+use jobs::{RewardHedgePlan, RewardOutcome};
+use node::{PlainCall, PlainOutcome, call_plain};
 use platform::headers;
 use routing::Route;
 use tokio::time::{self, Instant};
@@ -44,28 +44,28 @@
 
 /// Makes one reward call, at a second and a third target too if it takes long; the first good answer
 /// counts.
-pub async fn call_reward(ctx: &ShardContext, reward: &RewardCall) -> RewardEnd {
+pub async fn call_reward(ctx: &ShardContext, reward: &RewardCall) -> RewardOutcome {
     let table = ctx.view.table();
     let Some(route) = table.find(&reward.host, &reward.path) else {
         log::info!(target: "jobs", request = reward.id.as_str(), config = table.version.get(); "no route for a reward call");
-        return RewardEnd::Missed;
+        return RewardOutcome::Missed;
     };
-    let plan = RewardPlan::new(route.goal, route.timeout);
+    let plan = RewardHedgePlan::new(route.goal, route.timeout);
     let begun = Instant::now();
     let deadline = begun + plan.limit();
     let mut calls = FuturesUnordered::new();
     calls.push(call_once(ctx, reward, route, deadline));
     ctx.second_calls.first();
     let mut made = 1;
-    let mut worst = RewardEnd::Missed;
+    let mut worst = RewardOutcome::Missed;
     loop {
         let next = plan.next_call(made);
         // Where there is no next call, the branch that waits for this moment is off.
         let next_at = begun + next.unwrap_or_default();
         tokio::select! {
             ended = calls.next() => match ended {
-                Some(end @ RewardEnd::Scored(_)) => return end,
-                Some(RewardEnd::Missed) => {}
+                Some(end @ RewardOutcome::Scored(_)) => return end,
+                Some(RewardOutcome::Missed) => {}
                 Some(failed) => worst = failed,
                 None => return worst,
             },
@@ -86,16 +86,16 @@
     reward: &RewardCall,
     route: &Route,
     deadline: Instant,
-) -> RewardEnd {
+) -> RewardOutcome {
     let attempts = route.attempts;
     // One run a call, so that failures are counted as the targets answered them.
     let route = Route { attempts: 1, ..route.clone() };
-    let Ok(uri) = reward.path.parse::<Uri>() else { return RewardEnd::Missed };
+    let Ok(uri) = reward.path.parse::<Uri>() else { return RewardOutcome::Missed };
     let mut sent = HeaderMap::new();
     let (Ok(host), Ok(id)) =
         (HeaderValue::from_str(&reward.host), HeaderValue::from_str(&reward.id))
     else {
-        return RewardEnd::Missed;
+        return RewardOutcome::Missed;
     };
     sent.insert(http::header::HOST, host);
     sent.insert(headers::REQUEST_ID, id);
@@ -107,21 +107,23 @@
         headers: sent,
         body: Bytes::from(reward.body.clone()),
         deadline,
-        may_wait: true,
+        is_background: true,
         // It belongs to the system, which needs neither key nor customer for it.
         customer: None,
     };
     match call_plain(&ctx.view, call).await {
-        PlainEnd::Answered(answer) if answer.status.is_success() => {
-            match headers::answer_facts(&answer.headers).signature {
-                Some(signature) => RewardEnd::Scored(signature),
-                None => RewardEnd::Missed,
+        PlainOutcome::Answered(answer) if answer.status.is_success() => {
+            match headers::response_info(&answer.headers).signature {
+                Some(signature) => RewardOutcome::Scored(signature),
+                None => RewardOutcome::Missed,
             }
         }
-        PlainEnd::Answered(answer) if answer.status.as_u16() == 500 => {
-            RewardEnd::Failed { attempts }
+        PlainOutcome::Answered(answer) if answer.status.as_u16() == 500 => {
+            RewardOutcome::Failed { attempts }
+        }
+        PlainOutcome::Quarantined => RewardOutcome::Quarantined,
+        PlainOutcome::Answered(_) | PlainOutcome::NotRun(_) | PlainOutcome::Unknown(_) => {
+            RewardOutcome::Missed
         }
-        PlainEnd::Condemned => RewardEnd::Condemned,
-        PlainEnd::Answered(_) | PlainEnd::NotRun(_) | PlainEnd::Unknown(_) => RewardEnd::Missed,
     }
 }
--- a/crates/shards/src/role.rs
+++ b/crates/shards/src/role.rs
@@ -8,11 +8,11 @@
 use ids::{BoxId, whole_millis};
 use joblog::CopyFolder;
 use links::{LinkPool, LinkSettings, serve_links};
-use node::duties::{DutySink, box_object};
+use node::duties::{AssignmentSink, box_object};
 use node::feed::follow_feed;
-use node::follow::{KindFollower, KindSink};
+use node::follow::{KindSink, KindWatcher};
 use node::sinks::{ConfigSink, EvacuationSink, TargetSink, VersionSink};
-use node::{NodeView, StorageSettings, StoreCall, keep_suspects, serve_metrics, tell_counts};
+use node::{NodeView, StorageSettings, StoreCall, log_counters, serve_metrics, sync_suspects};
 use platform::{Changed, Kind, Listing, ObjectStore, StoreError};
 use tokio::net::TcpListener;
 use tokio::time::{self, Instant};
@@ -71,8 +71,8 @@
     tokio::spawn(conduct(Arc::clone(&ctx), Arc::clone(&keepers)));
     tokio::spawn(keep_accounts(Arc::clone(&ctx), Arc::clone(&keepers)));
     tokio::spawn(retire_when_asked(Arc::clone(&ctx), Arc::clone(&keepers)));
-    tokio::spawn(keep_suspects(Arc::clone(&view), true, end.clone()));
-    tokio::spawn(tell_counts(Arc::clone(&view)));
+    tokio::spawn(sync_suspects(Arc::clone(&view), true, end.clone()));
+    tokio::spawn(log_counters(Arc::clone(&view)));
     if let Some(address) = node.metrics {
         tokio::spawn(serve_metrics(view, address));
     }
@@ -94,18 +94,18 @@
     let view = &ctx.view;
     let v = || Arc::clone(view);
     let none = Duration::ZERO;
-    let mut config = KindFollower::new(view, Kind::Configuration, none, ConfigSink(v()));
+    let mut config = KindWatcher::new(view, Kind::Configuration, none, ConfigSink(v()));
     let targets = TargetSink::new(v());
-    let mut targets = KindFollower::new(view, Kind::Targets, GATHER_TARGETS, targets);
-    let mut versions = KindFollower::new(view, Kind::ModelVersions, none, VersionSink(v()));
-    let mut duties = KindFollower::new(view, Kind::Duties, none, DutySink(v()));
+    let mut targets = KindWatcher::new(view, Kind::Targets, GATHER_TARGETS, targets);
+    let mut versions = KindWatcher::new(view, Kind::ModelVersions, none, VersionSink(v()));
+    let mut duties = KindWatcher::new(view, Kind::Duties, none, AssignmentSink(v()));
     let retirements = RetireSink(Arc::clone(ctx));
-    let mut retirements = KindFollower::new(view, Kind::Retirements, none, retirements);
+    let mut retirements = KindWatcher::new(view, Kind::Retirements, none, retirements);
     let mut fed =
         vec![config.feed(), targets.feed(), versions.feed(), duties.feed(), retirements.feed()];
     if view.settings.evacuations {
         let sink = EvacuationSink(v());
-        let mut evacuations = KindFollower::new(view, Kind::Evacuations, none, sink);
+        let mut evacuations = KindWatcher::new(view, Kind::Evacuations, none, sink);
         fed.push(evacuations.feed());
         tokio::spawn(evacuations.run(end.clone()));
     }
@@ -147,7 +147,7 @@
         ctx.view.metrics.store_call(Kind::Duties, StoreCall::Read);
         let registered = match ctx.view.store.get(Kind::Duties, &name).await {
             Ok(Some(stored))
-                if stored.parse().is_ok_and(|copy: joblog::CopyHolder| copy == ctx.me) =>
+                if stored.parse().is_ok_and(|copy: joblog::StorageBox| copy == ctx.me) =>
             {
                 return;
             }
@@ -240,6 +240,6 @@
     }
     ctx.view.metrics.store_call(Kind::Duties, StoreCall::List);
     let Ok(listing) = ctx.view.store.list(Kind::Duties).await else { return false };
-    DutySink(Arc::clone(&ctx.view)).listed(&listing);
+    AssignmentSink(Arc::clone(&ctx.view)).listed(&listing);
     !ctx.view.duties().has_duty(&ctx.me.box_id)
 }
--- a/crates/shards/src/run.rs
+++ b/crates/shards/src/run.rs
@@ -6,13 +6,13 @@
 use http::{HeaderMap, HeaderName, HeaderValue, Method, Request, StatusCode};
 use http_body_util::Full;
 use ids::{CustomerName, ModelName, ModelVersion, WorkDigest, whole_millis};
-use jobs::{RunEnd, RunEvent, RunSpec};
-use node::{RunningSlot, note_break};
+use jobs::{RunEvent, RunResult, RunSpec};
+use node::{SlotGuard, record_disconnect};
 use platform::events::EventReader;
 use platform::headers;
-use routing::{ChoiceNeed, TargetSlot};
+use routing::{ChosenTarget, TargetRequirements};
 use tokio::time::{self, Instant};
-use upstream::{SendError, TargetAnswer};
+use upstream::{SendError, TargetResponse};
 
 use crate::context::ShardContext;
 use crate::keeper::ShardKeeper;
@@ -38,7 +38,7 @@
     ctx: &'a ShardContext,
     keeper: &'a ShardKeeper,
     spec: &'a RunSpec,
-    slot: &'a TargetSlot,
+    slot: &'a ChosenTarget,
     work: WorkDigest,
     model: Option<ModelName>,
     version: Option<u64>,
@@ -54,8 +54,8 @@
     ctx: &ShardContext,
     keeper: &ShardKeeper,
     spec: &RunSpec,
-    slot: &RunningSlot,
-) -> RunEnd {
+    slot: &SlotGuard,
+) -> RunResult {
     let mut state = RunState {
         ctx,
         keeper,
@@ -71,7 +71,7 @@
     let started = Instant::now();
     let reason = state.run().await;
     state.note(reason, started);
-    RunEnd { outcome: reason.outcome(), events: state.events, logged: state.logged }
+    RunResult { outcome: reason.outcome(), events: state.events, logged: state.logged }
 }
 
 impl RunState<'_> {
@@ -111,7 +111,7 @@
         let sent = self.ctx.view.pool.send(self.slot.address, request);
         let answer = match time::timeout(SILENCE, sent).await {
             Err(_elapsed) => {
-                self.ctx.view.pool.forget_resting();
+                self.ctx.view.pool.close_idle();
                 return RunReason::SilentBeforeHead;
             }
             Ok(Err(SendError::NotSent(_))) => return RunReason::NotSent,
@@ -122,15 +122,15 @@
         self.read(answer).await
     }
 
-    async fn read(&mut self, answer: TargetAnswer) -> RunReason {
+    async fn read(&mut self, answer: TargetResponse) -> RunReason {
         let view = &self.ctx.view;
-        let facts = headers::answer_facts(answer.headers());
+        let facts = headers::response_info(answer.headers());
         let item = self.spec.request().map_or("", |item| item.id.as_str());
         if facts.request_id.as_deref().is_some_and(|id| id != item) {
             return RunReason::OtherAnswer;
         }
         if let Some(load) = facts.load {
-            view.board().told_load(view.now(), &self.slot.instance, load);
+            view.board().record_load(view.now(), &self.slot.instance, load);
         }
         match answer.status() {
             StatusCode::MISDIRECTED_REQUEST => return RunReason::OtherTarget,
@@ -159,7 +159,7 @@
         self.ctx.view.board().told_version(&self.slot.instance, model, version);
     }
 
-    async fn read_events(&mut self, mut answer: TargetAnswer) -> RunReason {
+    async fn read_events(&mut self, mut answer: TargetResponse) -> RunReason {
         let mut reader = EventReader::default();
         loop {
             let bytes = match time::timeout(SILENCE, answer.next()).await {
@@ -221,7 +221,7 @@
         let pace = now.duration_since(since) / events;
         let view = &self.ctx.view;
         let mut board = view.board();
-        board.told_pace(&self.slot.instance, pace);
+        board.record_unit_time(&self.slot.instance, pace);
         let events = self.spec.events + u32::try_from(self.events.len()).unwrap_or(u32::MAX);
         let factor = if events >= LONG_EVENTS { LONG_MOVE_FACTOR } else { MOVE_FACTOR };
         let need = self.need();
@@ -229,9 +229,9 @@
         board.has_faster(view.now(), &self.slot.instance, faster, &need, &mut rand::rng())
     }
 
-    fn need(&self) -> ChoiceNeed<'_> {
+    fn need(&self) -> TargetRequirements<'_> {
         let floor = ModelVersion::new(self.spec.job.min_version);
-        ChoiceNeed {
+        TargetRequirements {
             model: self.model.as_ref().map(|model| (model, floor)),
             free_slot: true,
             fast: false,
@@ -245,7 +245,7 @@
         let view = &self.ctx.view;
         match reason {
             RunReason::Broken | RunReason::BrokenBeforeHead => {
-                note_break(view, self.slot, self.work);
+                record_disconnect(view, self.slot, self.work);
             }
             RunReason::OtherTarget => view.suspects().gone(view.now(), &self.slot.instance),
             // The engine has lived to say so.
--- a/crates/shards/src/work.rs
+++ b/crates/shards/src/work.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use ids::{ModelName, Moment};
-use wire::peer::{ModelWork, ShardBeat};
+use wire::peer::{ModelBacklog, ShardHeartbeat};
 
 use crate::keeper::ShardKeeper;
 
@@ -19,7 +19,7 @@
 struct WorkCounts {
     /// Open items of shards served here, smoothed, by model.
     own: HashMap<String, f64>,
-    told: HashMap<String, (Moment, Vec<ModelWork>)>,
+    told: HashMap<String, (Moment, Vec<ModelBacklog>)>,
 }
 
 /// How much work each model has.
@@ -44,14 +44,14 @@
     }
 
     /// What beats tell of the shards served here.
-    pub fn own(&self) -> Vec<ModelWork> {
+    pub fn own(&self) -> Vec<ModelBacklog> {
         let counts = self.lock();
         let own = counts.own.iter();
-        own.map(|(model, items)| ModelWork { model: model.clone(), items: *items }).collect()
+        own.map(|(model, items)| ModelBacklog { model: model.clone(), items: *items }).collect()
     }
 
     /// Takes what another box tells of the shards that it serves.
-    pub fn heard(&self, now: Moment, beat: &ShardBeat) {
+    pub fn heard(&self, now: Moment, beat: &ShardHeartbeat) {
         self.lock().told.insert(beat.box_id.clone(), (now, beat.work.clone()));
     }
 
@@ -59,7 +59,7 @@
     pub fn of(&self, now: Moment, models: &[ModelName]) -> Vec<f64> {
         let counts = self.lock();
         let told = counts.told.values().filter(|(at, _)| now.since(*at) < TOLD_TIME);
-        let told: Vec<&ModelWork> = told.flat_map(|(_, work)| work).collect();
+        let told: Vec<&ModelBacklog> = told.flat_map(|(_, work)| work).collect();
         let work = models.iter().map(|model| {
             let own = counts.own.get(model.as_str()).copied().unwrap_or_default();
             let others = told.iter().filter(|work| work.model == model.as_str());
--- a/crates/shards/tests/loads.rs
+++ b/crates/shards/tests/loads.rs
@@ -9,10 +9,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use ids::{BirthTime, InstanceId, ModelName, ModelVersion, Moment, ServiceName};
+use ids::{InstanceId, ModelName, ModelVersion, Moment, ServiceName, StartTime};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
-use routing::{ChoiceNeed, HeldModel, TargetBoard, TargetFailure, TargetRecord};
+use routing::{HeldModel, TargetFailure, TargetRecord, TargetRequirements, TargetTable};
 use shards::{LoadBoard, hear_loads};
 
 const ENGINES: usize = 17;
@@ -35,15 +35,15 @@
     "engines".parse().expect("a service")
 }
 
-fn server_board() -> TargetBoard {
+fn server_board() -> TargetTable {
     let domain: ids::DomainId = "domain-1".parse().expect("a domain");
-    let mut board = TargetBoard::new(domain.clone());
+    let mut board = TargetTable::new(domain.clone());
     for number in 0..ENGINES {
         board.put(
             Moment::START,
             TargetRecord {
                 instance: engine(number),
-                born: BirthTime::default(),
+                born: StartTime::default(),
                 software: None,
                 service: service(),
                 address: SocketAddr::from(([127, 0, 0, 1], 1)),
@@ -74,7 +74,7 @@
     let mut runs: Vec<(InstanceId, Moment)> = Vec::new();
     let mut next = 0;
     let mut news_at = Moment::START;
-    let need = ChoiceNeed { free_slot: true, fast: true, ..ChoiceNeed::default() };
+    let need = TargetRequirements { free_slot: true, fast: true, ..TargetRequirements::default() };
     for tick in 0..3_000 {
         let now = Moment::START + TICK * tick;
         loading.retain(|(number, until)| {
@@ -127,8 +127,11 @@
 fn an_ended_load_tells_the_new_version_at_once() {
     let (orders, mut board) = (LoadBoard::default(), server_board());
     let (model, version) = (model(), ModelVersion::new(2));
-    let needs_new =
-        ChoiceNeed { model: Some((&model, version)), free_slot: true, ..ChoiceNeed::default() };
+    let needs_new = TargetRequirements {
+        model: Some((&model, version)),
+        free_slot: true,
+        ..TargetRequirements::default()
+    };
     let mut rng = ChaCha8Rng::seed_from_u64(2);
     let (begun, ended) = (Moment::START, Moment::START + LOAD);
     orders.begun(&engine(3), &model, version);
@@ -155,7 +158,7 @@
 #[test]
 fn a_load_of_which_nothing_more_is_heard_is_believed_for_less_than_a_second() {
     let (orders, mut board) = (LoadBoard::default(), server_board());
-    let need = ChoiceNeed { free_slot: true, ..ChoiceNeed::default() };
+    let need = TargetRequirements { free_slot: true, ..TargetRequirements::default() };
     for number in 0..ENGINES {
         orders.begun(&engine(number), &model(), ModelVersion::new(2));
     }
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -16,12 +16,12 @@
 use bytes::Bytes;
 use futures::stream;
 use ids::{
-    AnswerDigest, DigestWriter, Incarnation, ModelVersion, Moment, TokenCount, whole_millis,
+    ContentDigest, DigestWriter, Incarnation, ModelVersion, Moment, TokenCount, whole_millis,
 };
 use serde::{Deserialize, Serialize};
 use targets::{
-    EngineLine, EngineState, GenerateRequest, LoadReport, NOT_RUN_HEADER, OrderAnswer,
-    OrderRequest, TOKEN_CHARS,
+    EngineLine, EngineState, GenerateRequest, LoadReport, NOT_RUN_HEADER, OrderRequest,
+    OrderResponse, TOKEN_CHARS,
 };
 use tokio::sync::{Notify, mpsc};
 use tokio::time::{self, Instant};
@@ -172,7 +172,7 @@
     let mut text = String::with_capacity(step.tokens as usize * TOKEN_CHARS);
     for token in 0..step.tokens {
         let place = [seed, u64::from(step.index), u64::from(token)].map(u64::to_le_bytes);
-        let digest = AnswerDigest::of(place.as_flattened()).to_string();
+        let digest = ContentDigest::of(place.as_flattened()).to_string();
         text.push_str(&digest[..TOKEN_CHARS - 1]);
         text.push(' ');
     }
@@ -203,7 +203,7 @@
                 (StatusCode::SERVICE_UNAVAILABLE, [(NOT_RUN_HEADER, "leaving")], "leaving");
             return refused.into_response();
         }
-        let prompt = AnswerDigest::of(request.prompt.as_bytes()).get();
+        let prompt = ContentDigest::of(request.prompt.as_bytes()).get();
         let id = inner.model.start(now, prompt, request.seed, request.max_tokens.get());
         let digest = DigestWriter::default();
         inner.streams.insert(id, StreamOut { lines, seed: request.seed, digest, tokens: 0 });
@@ -273,7 +273,7 @@
         let mut inner = standin.lock();
         if inner.faults.refuse_orders > 0 {
             inner.faults.refuse_orders -= 1;
-            return Json(OrderAnswer::Refused { reason: "no memory".to_owned() }).into_response();
+            return Json(OrderResponse::Refused { reason: "no memory".to_owned() }).into_response();
         }
         let lost = inner.faults.lose_order_answers > 0;
         inner.faults.lose_order_answers = inner.faults.lose_order_answers.saturating_sub(1);
@@ -285,11 +285,11 @@
     match started {
         OrderStart::OldToken(seen) => {
             let reason = format!("token {} is older than {seen}", order.token);
-            Json(OrderAnswer::Refused { reason }).into_response()
+            Json(OrderResponse::Refused { reason }).into_response()
         }
         OrderStart::LoadedAt(at) => {
             time::sleep_until(standin.started + at.since_start()).await;
-            Json(OrderAnswer::Done).into_response()
+            Json(OrderResponse::Done).into_response()
         }
     }
 }
--- a/crates/standins/src/plain.rs
+++ b/crates/standins/src/plain.rs
@@ -11,9 +11,9 @@
 use axum::http::{HeaderMap, StatusCode, Uri};
 use axum::response::{IntoResponse, Response};
 use axum::routing::{get, post};
-use ids::AnswerDigest;
+use ids::ContentDigest;
 use serde::{Deserialize, Serialize};
-use targets::{DIGEST_HEADER, NOT_RUN_HEADER, REQUEST_ID_HEADER, ScoreAnswer, ScoreRequest};
+use targets::{DIGEST_HEADER, NOT_RUN_HEADER, REQUEST_ID_HEADER, ScoreRequest, ScoreResponse};
 use tokio::time;
 
 /// Switches for faults; all off by default.
@@ -102,17 +102,17 @@
     }
     let answer = format!("{uri} {}", String::from_utf8_lossy(&body));
     let corrupt = take(&mut state.lock().faults.corrupt);
-    let digest = AnswerDigest::of(if corrupt { b"other" } else { answer.as_bytes() });
+    let digest = ContentDigest::of(if corrupt { b"other" } else { answer.as_bytes() });
     ([(DIGEST_HEADER, digest.to_string())], answer).into_response()
 }
 
 /// Judges a sample by its digest: arbitrary, and the same for the same text.
-async fn score(Json(request): Json<ScoreRequest>) -> Json<ScoreAnswer> {
+async fn score(Json(request): Json<ScoreRequest>) -> Json<ScoreResponse> {
     /// Scores are hundredths from 0 to 1.
     const STEPS: u32 = 101;
-    let digest = AnswerDigest::of(request.text.as_bytes()).get();
+    let digest = ContentDigest::of(request.text.as_bytes()).get();
     let hundredths = u32::try_from(digest % u64::from(STEPS)).unwrap_or_default();
-    Json(ScoreAnswer { score: f64::from(hundredths) / 100.0 })
+    Json(ScoreResponse { score: f64::from(hundredths) / 100.0 })
 }
 
 async fn set_faults(
