--- a/crates/suspects/src/book.rs
+++ b/crates/suspects/src/book.rs
@@ -3,14 +3,14 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-use ids::{InstanceId, Moment, ServiceName, SoftwareVersion, TargetLife, WorkDigest};
+use ids::{InstanceId, Moment, ServiceName, SoftwareVersion, TargetIncarnation, WorkDigest};
 
 use crate::verdict::{OWN_ENDS, SETTLE_TIME, condemned};
-use crate::{CONDEMNING_ENDS, MOST_ENDS, SuspectRecord, WorkEnd};
+use crate::{MOST_ENDS, QUARANTINE_CRASHES, SuspectRecord, TargetCrash};
 
 /// Ends from which on work runs only where no other suspect does: where several lethal requests come at once, all that
 /// run beside them would reach a verdict with them.
-const ALONE_ENDS: usize = CONDEMNING_ENDS - 1;
+const ALONE_ENDS: usize = QUARANTINE_CRASHES - 1;
 /// Pieces of work that are remembered, some 400 bytes each. With more, those with the fewest and oldest ends go.
 const MOST_SUSPECTS: usize = 512;
 /// Breaks of one piece of work that wait for the word whether their targets have ended.
@@ -53,7 +53,7 @@
 
 /// Where work had better not run, since other work under suspicion runs there.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct WorkCompany {
+pub struct AntiAffinity {
     /// These targets.
     pub places: Vec<InstanceId>,
     /// It must not run there: with one more end it would be condemned, and who runs beside it as well.
@@ -81,10 +81,10 @@
 struct Suspect {
     service: ServiceName,
     /// Ends that this box has seen, and those that it was told of.
-    seen: Vec<WorkEnd>,
-    heard: Vec<WorkEnd>,
+    seen: Vec<TargetCrash>,
+    heard: Vec<TargetCrash>,
     /// Targets that broke it off, and may have ended.
-    breaks: Vec<(WorkEnd, Moment)>,
+    breaks: Vec<(TargetCrash, Moment)>,
     /// When the last end became known, and when there were enough for a verdict.
     last_at: Moment,
     enough_at: Option<Moment>,
@@ -119,31 +119,31 @@
         }
     }
 
-    fn ends(&self) -> Vec<WorkEnd> {
+    fn ends(&self) -> Vec<TargetCrash> {
         let unheard = self.seen.iter().filter(|end| !self.heard.contains(end));
         self.heard.iter().chain(unheard).take(MOST_ENDS).cloned().collect()
     }
 
     /// Lives that ended under it, or may have.
-    fn lives(&self) -> impl Iterator<Item = &TargetLife> {
+    fn lives(&self) -> impl Iterator<Item = &TargetIncarnation> {
         let ends = self.seen.iter().chain(&self.heard);
         ends.chain(self.breaks.iter().map(|(end, _)| end)).map(|end| &end.life)
     }
 
-    fn has_ended(&self, life: &TargetLife) -> bool {
+    fn has_ended(&self, life: &TargetIncarnation) -> bool {
         self.seen.iter().chain(&self.heard).any(|end| end.life == *life)
     }
 
     /// Whether it, rather than `other` work with these ends, may be what ended the targets at which both ran: it has as
     /// many ends, or enough without the other to be condemned for them. The second tells work that ran beside two
     /// lethal requests in turn, and so has as many ends as either, from both of them.
-    fn explains(&self, other: &Self, ends: &[WorkEnd]) -> bool {
+    fn explains(&self, other: &Self, ends: &[TargetCrash]) -> bool {
         let alone = || {
             let own = self.ends();
             own.iter().filter(|end| ends.iter().all(|others| others.life != end.life)).count()
         };
         let count = self.count();
-        count >= other.count() || (count >= CONDEMNING_ENDS && alone() >= OWN_ENDS)
+        count >= other.count() || (count >= QUARANTINE_CRASHES && alone() >= OWN_ENDS)
     }
 
     fn count(&self) -> usize {
@@ -154,7 +154,7 @@
     /// Notes that another end is known.
     fn note_end(&mut self, now: Moment) {
         self.last_at = now;
-        if self.count() >= CONDEMNING_ENDS {
+        if self.count() >= QUARANTINE_CRASHES {
             self.enough_at.get_or_insert(now);
         }
     }
@@ -171,7 +171,7 @@
     }
 
     fn kept_for(&self) -> Duration {
-        if self.count() >= CONDEMNING_ENDS { VERDICT_TIME } else { SUSPECT_TIME }
+        if self.count() >= QUARANTINE_CRASHES { VERDICT_TIME } else { SUSPECT_TIME }
     }
 
     /// Whether others should know: a second end, or a caller who may come to any of them.
@@ -185,15 +185,15 @@
 
 /// Work under which targets have ended, as one box knows it.
 #[derive(Debug, Default)]
-pub struct SuspectBook {
+pub struct SuspectTable {
     suspects: HashMap<WorkDigest, Suspect>,
     /// Work that is free again, with the revision of what the store still tells of it.
     cleared: HashMap<WorkDigest, u64>,
     /// Lives that refused connections after a break, and when: a cut may look the same.
-    refused: HashMap<TargetLife, Moment>,
+    refused: HashMap<TargetIncarnation, Moment>,
 }
 
-impl SuspectBook {
+impl SuspectTable {
     /// Whether nothing is remembered, so that no work need be known again.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
@@ -220,7 +220,7 @@
         now: Moment,
         work: WorkDigest,
         service: &ServiceName,
-        end: WorkEnd,
+        end: TargetCrash,
     ) -> bool {
         let life = end.life.clone();
         let is_known = |suspect: &Suspect| suspect.lives().any(|other| *other == life);
@@ -238,7 +238,7 @@
     }
 
     /// Takes the word that nothing listens at a life that broke work off.
-    pub fn refuses(&mut self, now: Moment, life: &TargetLife) {
+    pub fn refuses(&mut self, now: Moment, life: &TargetIncarnation) {
         self.refused.insert(life.clone(), now);
         self.ended(now, life);
     }
@@ -247,13 +247,13 @@
     pub fn gone(&mut self, now: Moment, instance: &InstanceId) {
         let lives = self.suspects.values().flat_map(|suspect| &suspect.breaks);
         let gone = lives.map(|(end, _)| &end.life).filter(|life| life.instance == *instance);
-        let gone: HashSet<TargetLife> = gone.cloned().collect();
+        let gone: HashSet<TargetIncarnation> = gone.cloned().collect();
         for life in gone {
             self.ended(now, &life);
         }
     }
 
-    fn ended(&mut self, now: Moment, life: &TargetLife) {
+    fn ended(&mut self, now: Moment, life: &TargetIncarnation) {
         for suspect in self.suspects.values_mut() {
             let Some(at) = suspect.breaks.iter().position(|(end, _)| end.life == *life) else {
                 continue;
@@ -267,13 +267,13 @@
     }
 
     /// Lives that refused connections a while ago, and so must have lapsed by now; each is named once.
-    pub fn lapsed(&mut self, now: Moment) -> Vec<TargetLife> {
+    pub fn lapsed(&mut self, now: Moment) -> Vec<TargetIncarnation> {
         let due = self.refused.extract_if(|_, at| now.since(*at) >= LAPSE_TIME);
         due.map(|(life, _)| life).collect()
     }
 
     /// Takes the word that no work has ended a life: it lives behind a cut, or has left as planned.
-    pub fn acquit(&mut self, life: &TargetLife) {
+    pub fn clear_incarnation(&mut self, life: &TargetIncarnation) {
         for suspect in self.suspects.values_mut() {
             let before = suspect.count();
             suspect.breaks.retain(|(end, _)| end.life != *life);
@@ -326,7 +326,7 @@
     }
 
     /// Where other suspects run now, from this box: beside them the next end tells nothing, and may hit innocent work.
-    pub fn company(&self, work: WorkDigest) -> WorkCompany {
+    pub fn company(&self, work: WorkDigest) -> AntiAffinity {
         let suspect = self.suspects.get(&work);
         let others = self.suspects.iter().filter(|(other, known)| {
             let shuns = match suspect {
@@ -340,12 +340,12 @@
             **other != work && shuns
         });
         let places = others.flat_map(|(_, known)| known.places.iter().cloned()).collect();
-        WorkCompany { places, alone: suspect.is_some_and(|known| known.count() >= ALONE_ENDS) }
+        AntiAffinity { places, alone: suspect.is_some_and(|known| known.count() >= ALONE_ENDS) }
     }
 
     /// Whether condemned work may run once, to see whether the reason has gone. Where a trial is due it is asked for; the
     /// work that comes after the store has taken that is let through, at one box.
-    pub fn may_try(&mut self, now: Moment, work: WorkDigest) -> bool {
+    pub fn request_trial(&mut self, now: Moment, work: WorkDigest) -> bool {
         let Some(suspect) = self.suspects.get_mut(&work) else { return false };
         if suspect.trial == Trial::None && suspect.trial_due(now) {
             suspect.trial = Trial::Wanted;
@@ -452,7 +452,7 @@
     /// Takes a whole listing, after what it tells of each: what it does not name is not told any more.
     pub fn listed(&mut self, named: &HashSet<WorkDigest>) {
         for suspect in self.suspects.values_mut() {
-            suspect.settled |= suspect.heard.len() >= CONDEMNING_ENDS;
+            suspect.settled |= suspect.heard.len() >= QUARANTINE_CRASHES;
         }
         self.cleared.retain(|work, _| named.contains(work));
         self.suspects.retain(|work, suspect| suspect.told.is_none() || named.contains(work));
--- a/crates/suspects/src/lib.rs
+++ b/crates/suspects/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A request may crash each target that begins to run it. A box that puts every break down to the target sends
 //! it to the next one, its caller comes again at another box, and soon no target of the service is left. So
-//! each box remembers, by a digest of what was asked for, under which work targets have ended ([`SuspectBook`]), tells
+//! each box remembers, by a digest of what was asked for, under which work targets have ended ([`SuspectTable`]), tells
 //! the others ([`SuspectRecord`]), and turns work away once it is condemned.
 //!
 //! Innocent work must not suffer for it. When a target ends, all that ran there breaks off, and most of it is
@@ -21,6 +21,6 @@
 mod record;
 mod verdict;
 
-pub use book::{SuspectBook, SuspectWrite, WorkCompany};
-pub use record::{MOST_ENDS, SuspectRecord, WorkEnd};
-pub use verdict::{CONDEMNING_ENDS, SURE_ENDS};
+pub use book::{AntiAffinity, SuspectTable, SuspectWrite};
+pub use record::{MOST_ENDS, SuspectRecord, TargetCrash};
+pub use verdict::{QUARANTINE_CRASHES, UNCONDITIONAL_QUARANTINE_CRASHES};
--- a/crates/suspects/src/record.rs
+++ b/crates/suspects/src/record.rs
@@ -1,6 +1,6 @@
 //! What boxes tell one another of a piece of work.
 
-use ids::{ServiceName, SoftwareVersion, TargetLife};
+use ids::{ServiceName, SoftwareVersion, TargetIncarnation};
 use serde::{Deserialize, Serialize};
 
 /// Ends that are remembered of one piece of work; a verdict needs fewer.
@@ -8,9 +8,9 @@
 
 /// The end of a target under a piece of work.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct WorkEnd {
+pub struct TargetCrash {
     /// The life that ended.
-    pub life: TargetLife,
+    pub life: TargetIncarnation,
     /// The software that it ran, where it told.
     #[serde(default)]
     pub software: Option<SoftwareVersion>,
@@ -22,7 +22,7 @@
     /// The service whose targets ended.
     pub service: ServiceName,
     /// Their ends.
-    pub ends: Vec<WorkEnd>,
+    pub ends: Vec<TargetCrash>,
     /// How often it was let through after it was condemned, to see whether the reason has gone.
     #[serde(default)]
     pub trials: u32,
--- a/crates/suspects/src/verdict.rs
+++ b/crates/suspects/src/verdict.rs
@@ -4,14 +4,14 @@
 
 use ids::SoftwareVersion;
 
-use crate::WorkEnd;
+use crate::TargetCrash;
 
 /// Ends of targets under a piece of work from which on it may be condemned. Fewer happen by chance, to work that
 /// meets two crashes of targets in a row.
-pub const CONDEMNING_ENDS: usize = 3;
+pub const QUARANTINE_CRASHES: usize = 3;
 /// Ends that condemn whatever else could explain them: without a bound, two pieces of work that always end
 /// targets together would explain each other for ever.
-pub const SURE_ENDS: usize = 6;
+pub const UNCONDITIONAL_QUARANTINE_CRASHES: usize = 6;
 /// So many ends must have no other explanation. One may be the target's own crash, beside two under other work.
 pub(crate) const OWN_ENDS: usize = 2;
 /// A verdict waits for this long after the end that makes it possible, since other boxes may be about to tell of work that explains it
@@ -21,8 +21,8 @@
 /// The versions of the software whose targets the work must not reach. `explains` says whether other work that may have
 /// ended a life ran there.
 pub(crate) fn condemned(
-    ends: &[WorkEnd],
-    explains: impl Fn(&WorkEnd) -> bool,
+    ends: &[TargetCrash],
+    explains: impl Fn(&TargetCrash) -> bool,
 ) -> Vec<Option<SoftwareVersion>> {
     let mut counts: Vec<SoftwareCount> = Vec::new();
     for end in ends {
@@ -51,6 +51,7 @@
 
 impl SoftwareCount {
     const fn condemns(&self) -> bool {
-        self.ends >= SURE_ENDS || (self.ends >= CONDEMNING_ENDS && self.own >= OWN_ENDS)
+        self.ends >= UNCONDITIONAL_QUARANTINE_CRASHES
+            || (self.ends >= QUARANTINE_CRASHES && self.own >= OWN_ENDS)
     }
 }
--- a/crates/suspects/tests/book.rs
+++ b/crates/suspects/tests/book.rs
@@ -3,10 +3,12 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-use ids::{BirthTime, InstanceId, Moment, ServiceName, SoftwareVersion, TargetLife, WorkDigest};
+use ids::{
+    InstanceId, Moment, ServiceName, SoftwareVersion, StartTime, TargetIncarnation, WorkDigest,
+};
 use suspects::{
-    CONDEMNING_ENDS, MOST_ENDS, SURE_ENDS, SuspectBook, SuspectRecord, SuspectWrite, WorkCompany,
-    WorkEnd,
+    AntiAffinity, MOST_ENDS, QUARANTINE_CRASHES, SuspectRecord, SuspectTable, SuspectWrite,
+    TargetCrash, UNCONDITIONAL_QUARANTINE_CRASHES,
 };
 
 /// Longer than other boxes' news take.
@@ -24,16 +26,16 @@
     format!("i-{number}").parse().expect("an id")
 }
 
-fn life(number: usize) -> TargetLife {
-    TargetLife { instance: instance(number), born: BirthTime::default() }
+fn life(number: usize) -> TargetIncarnation {
+    TargetIncarnation { instance: instance(number), born: StartTime::default() }
 }
 
 fn software(version: &str) -> SoftwareVersion {
     version.parse().expect("a version")
 }
 
-fn end_of(number: usize) -> WorkEnd {
-    WorkEnd { life: life(number), software: Some(software("v1")) }
+fn end_of(number: usize) -> TargetCrash {
+    TargetCrash { life: life(number), software: Some(software("v1")) }
 }
 
 fn at(seconds: u64) -> Moment {
@@ -41,21 +43,21 @@
 }
 
 /// A target ends under all of these.
-fn end_under(book: &mut SuspectBook, now: Moment, number: usize, works: &[&str]) {
+fn end_under(book: &mut SuspectTable, now: Moment, number: usize, works: &[&str]) {
     for name in works {
         book.broke(now, work(name), &service(), end_of(number));
     }
     book.refuses(now, &life(number));
 }
 
-fn is_condemned(book: &SuspectBook, now: Moment, name: &str) -> bool {
+fn is_condemned(book: &SuspectTable, now: Moment, name: &str) -> bool {
     !book.condemned(now + SETTLED, work(name), &service()).is_empty()
 }
 
 #[test]
 fn three_ends_condemn_once_news_have_settled() {
-    let mut book = SuspectBook::default();
-    for number in 0..CONDEMNING_ENDS {
+    let mut book = SuspectTable::default();
+    for number in 0..QUARANTINE_CRASHES {
         assert!(!is_condemned(&book, at(9), "a"), "after {number} ends");
         end_under(&mut book, at(1), number, &["a"]);
     }
@@ -68,20 +70,20 @@
 
 #[test]
 fn one_life_counts_once_and_a_later_life_of_the_same_id_again() {
-    let mut book = SuspectBook::default();
+    let mut book = SuspectTable::default();
     for _ in 0..5 {
         end_under(&mut book, at(1), 1, &["a"]);
     }
     assert_eq!(book.ends(work("a")), 1);
-    let later = TargetLife { born: BirthTime::new(7), ..life(1) };
-    book.broke(at(2), work("a"), &service(), WorkEnd { life: later.clone(), software: None });
+    let later = TargetIncarnation { born: StartTime::new(7), ..life(1) };
+    book.broke(at(2), work("a"), &service(), TargetCrash { life: later.clone(), software: None });
     book.refuses(at(2), &later);
     assert_eq!(book.ends(work("a")), 2);
 }
 
 #[test]
 fn a_closed_connection_is_no_end() {
-    let mut book = SuspectBook::default();
+    let mut book = SuspectTable::default();
     for number in 0..9 {
         assert!(book.broke(at(1), work("a"), &service(), end_of(number)), "to be looked at");
         assert!(!book.broke(at(1), work("b"), &service(), end_of(number)), "somebody looks");
@@ -93,8 +95,8 @@
 
 #[test]
 fn a_life_that_is_taken_off_the_list_has_ended() {
-    let mut book = SuspectBook::default();
-    for number in 0..CONDEMNING_ENDS {
+    let mut book = SuspectTable::default();
+    for number in 0..QUARANTINE_CRASHES {
         // It was back so soon that it took connections when it was looked at.
         book.broke(at(1), work("a"), &service(), end_of(number));
         book.gone(at(3), &instance(number));
@@ -104,8 +106,8 @@
 
 #[test]
 fn an_answer_frees_the_work_everywhere() {
-    let mut book = SuspectBook::default();
-    for number in 0..CONDEMNING_ENDS {
+    let mut book = SuspectTable::default();
+    for number in 0..QUARANTINE_CRASHES {
         end_under(&mut book, at(1), number, &["a"]);
     }
     let told = tell_all(&mut book, at(1));
@@ -122,7 +124,7 @@
 }
 
 /// Has all that is due taken by the store, at revisions from 10 on.
-fn tell_all(book: &mut SuspectBook, now: Moment) -> Vec<(WorkDigest, SuspectRecord)> {
+fn tell_all(book: &mut SuspectTable, now: Moment) -> Vec<(WorkDigest, SuspectRecord)> {
     let due = book.due_writes();
     let tells = due.into_iter().filter_map(|write| match write {
         SuspectWrite::Tell { work, record, .. } => Some((work, record)),
@@ -137,7 +139,7 @@
 
 #[test]
 fn a_first_end_is_told_only_of_work_that_is_given_up() {
-    let mut book = SuspectBook::default();
+    let mut book = SuspectTable::default();
     end_under(&mut book, at(1), 1, &["a", "b"]);
     assert!(book.due_writes().is_empty(), "its next try may be answered");
     book.given_up(work("a"));
@@ -149,12 +151,12 @@
 
 #[test]
 fn a_box_that_starts_knows_what_is_told() {
-    let mut first = SuspectBook::default();
-    for number in 0..CONDEMNING_ENDS {
+    let mut first = SuspectTable::default();
+    for number in 0..QUARANTINE_CRASHES {
         end_under(&mut first, at(1), number, &["a"]);
     }
     let told = tell_all(&mut first, at(1));
-    let mut second = SuspectBook::default();
+    let mut second = SuspectTable::default();
     second.told(at(0), told[0].0, 10, told[0].1.clone());
     second.listed(&HashSet::from([work("a")]));
     assert!(!second.condemned(at(0), work("a"), &service()).is_empty());
@@ -165,7 +167,7 @@
 
 #[test]
 fn ends_seen_at_several_boxes_count_together() {
-    let mut books = [SuspectBook::default(), SuspectBook::default(), SuspectBook::default()];
+    let mut books = [SuspectTable::default(), SuspectTable::default(), SuspectTable::default()];
     let mut stored: Option<(u64, SuspectRecord)> = None;
     for (number, book) in books.iter_mut().enumerate() {
         if let Some((revision, record)) = stored.clone() {
@@ -179,33 +181,33 @@
     assert!(!is_condemned(&books[0], at(2), "a"));
     assert!(is_condemned(&books[2], at(2), "a"));
     let (_, record) = stored.expect("told");
-    assert_eq!(record.ends.len(), CONDEMNING_ENDS);
+    assert_eq!(record.ends.len(), QUARANTINE_CRASHES);
 }
 
 #[test]
 fn work_that_always_runs_beside_a_lethal_one_is_told_apart_by_the_next_end() {
-    let mut book = SuspectBook::default();
-    for number in 0..CONDEMNING_ENDS {
+    let mut book = SuspectTable::default();
+    for number in 0..QUARANTINE_CRASHES {
         end_under(&mut book, at(1), number, &["lethal", "innocent"]);
     }
     assert!(!is_condemned(&book, at(1), "lethal") && !is_condemned(&book, at(1), "innocent"));
     // They run apart from each other.
     book.began(work("lethal"), &instance(7));
-    let beside = WorkCompany { places: vec![instance(7)], alone: true };
+    let beside = AntiAffinity { places: vec![instance(7)], alone: true };
     assert_eq!(book.company(work("innocent")), beside);
     assert!(book.company(work("lethal")).places.is_empty());
-    let fresh = WorkCompany { alone: false, ..beside };
+    let fresh = AntiAffinity { alone: false, ..beside };
     assert_eq!(book.company(work("of no suspicion")), fresh, "it may, but had better not");
-    let mut once = SuspectBook::default();
+    let mut once = SuspectTable::default();
     end_under(&mut once, at(1), 1, &["a"]);
     once.began(work("a"), &instance(7));
-    assert_eq!(once.company(work("of no suspicion")), WorkCompany::default(), "one crash");
+    assert_eq!(once.company(work("of no suspicion")), AntiAffinity::default(), "one crash");
     end_under(&mut book, at(1), 99, &["of another crash"]);
-    assert_eq!(book.company(work("of another crash")), WorkCompany::default());
+    assert_eq!(book.company(work("of another crash")), AntiAffinity::default());
     book.left(work("lethal"), &instance(7));
     assert!(book.company(work("innocent")).places.is_empty());
-    let mut answered = SuspectBook::default();
-    for number in 0..CONDEMNING_ENDS {
+    let mut answered = SuspectTable::default();
+    for number in 0..QUARANTINE_CRASHES {
         end_under(&mut answered, at(1), number, &["lethal", "innocent"]);
     }
     answered.succeeded(work("innocent"));
@@ -216,7 +218,7 @@
 
 #[test]
 fn crashes_beside_two_ends_under_other_work_condemn_nobody() {
-    let mut book = SuspectBook::default();
+    let mut book = SuspectTable::default();
     end_under(&mut book, at(1), 1, &["lethal", "innocent"]);
     end_under(&mut book, at(1), 2, &["lethal", "innocent"]);
     end_under(&mut book, at(2), 3, &["lethal"]);
@@ -230,8 +232,8 @@
 
 #[test]
 fn two_lethal_works_that_always_end_targets_together_are_condemned_in_the_end() {
-    let mut book = SuspectBook::default();
-    for number in 0..SURE_ENDS {
+    let mut book = SuspectTable::default();
+    for number in 0..UNCONDITIONAL_QUARANTINE_CRASHES {
         assert!(!is_condemned(&book, at(1), "a"));
         end_under(&mut book, at(1), number, &["a", "b"]);
     }
@@ -240,31 +242,31 @@
 
 #[test]
 fn a_life_behind_a_cut_that_refuses_has_not_ended() {
-    let mut book = SuspectBook::default();
-    for number in 0..CONDEMNING_ENDS {
+    let mut book = SuspectTable::default();
+    for number in 0..QUARANTINE_CRASHES {
         end_under(&mut book, at(1), number, &["a"]);
     }
     tell_all(&mut book, at(1));
     assert!(book.lapsed(at(4)).is_empty(), "its entry may stand that long");
     let lapsed = book.lapsed(at(8));
-    assert_eq!(lapsed.len(), CONDEMNING_ENDS);
+    assert_eq!(lapsed.len(), QUARANTINE_CRASHES);
     assert!(book.lapsed(at(9)).is_empty(), "each is named once");
-    book.acquit(&lapsed[0]);
+    book.clear_incarnation(&lapsed[0]);
     assert!(!is_condemned(&book, at(8), "a"));
     assert_eq!(tell_all(&mut book, at(8)).len(), 1, "the others hear of it");
-    book.acquit(&lapsed[1]);
-    book.acquit(&lapsed[2]);
+    book.clear_incarnation(&lapsed[1]);
+    book.clear_incarnation(&lapsed[2]);
     assert!(matches!(book.due_writes()[..], [SuspectWrite::Clear { .. }]));
 }
 
 #[test]
 fn other_software_may_bear_the_work() {
-    let mut book = SuspectBook::default();
-    for number in 0..CONDEMNING_ENDS {
+    let mut book = SuspectTable::default();
+    for number in 0..QUARANTINE_CRASHES {
         end_under(&mut book, at(1), number, &["a"]);
     }
     assert_eq!(book.condemned(at(3), work("a"), &service()), [Some(software("v1"))]);
-    let next = WorkEnd { life: life(9), software: Some(software("v2")) };
+    let next = TargetCrash { life: life(9), software: Some(software("v2")) };
     book.broke(at(4), work("a"), &service(), next);
     book.refuses(at(4), &life(9));
     let condemned = book.condemned(at(4), work("a"), &service());
@@ -273,25 +275,25 @@
 
 #[test]
 fn condemned_work_is_tried_three_times_by_one_box_each_time() {
-    let mut book = SuspectBook::default();
-    for number in 0..CONDEMNING_ENDS {
+    let mut book = SuspectTable::default();
+    for number in 0..QUARANTINE_CRASHES {
         end_under(&mut book, at(1), number, &["a"]);
     }
     tell_all(&mut book, at(1));
-    let mut other = SuspectBook::default();
+    let mut other = SuspectTable::default();
     let mut now = at(2);
-    assert!(!book.may_try(now, work("a")), "not so soon");
+    assert!(!book.request_trial(now, work("a")), "not so soon");
     let mut trials = 0;
     for hour in 1..20 {
         now = at(hour * 3_600);
-        assert!(!book.may_try(now, work("a")), "the store must hear of it first");
+        assert!(!book.request_trial(now, work("a")), "the store must hear of it first");
         let told = tell_all(&mut book, now);
-        if book.may_try(now, work("a")) {
+        if book.request_trial(now, work("a")) {
             trials += 1;
             other.told(now, work("a"), 10 + hour, told[0].1.clone());
-            assert!(!other.may_try(now, work("a")), "one box makes it");
+            assert!(!other.request_trial(now, work("a")), "one box makes it");
             book.began(work("a"), &instance(1));
-            assert!(!book.may_try(now, work("a")), "once");
+            assert!(!book.request_trial(now, work("a")), "once");
         }
     }
     assert_eq!(trials, 3);
@@ -304,7 +306,7 @@
 #[test]
 fn what_boxes_that_are_gone_have_told_is_cleared_away_by_those_that_keep_data() {
     let record = SuspectRecord { service: service(), ends: vec![end_of(1), end_of(2)], trials: 0 };
-    let [mut keeps, mut serves] = [SuspectBook::default(), SuspectBook::default()];
+    let [mut keeps, mut serves] = [SuspectTable::default(), SuspectTable::default()];
     for book in [&mut keeps, &mut serves] {
         book.told(at(1), work("a"), 5, record.clone());
     }
@@ -319,8 +321,8 @@
 
 #[test]
 fn what_is_remembered_is_bounded_and_the_worst_is_kept() {
-    let mut book = SuspectBook::default();
-    for number in 0..CONDEMNING_ENDS {
+    let mut book = SuspectTable::default();
+    for number in 0..QUARANTINE_CRASHES {
         end_under(&mut book, at(1), number, &["lethal"]);
     }
     for number in 0..5_000 {
@@ -341,7 +343,7 @@
 #[test]
 fn breaks_that_wait_for_word_of_their_targets_are_bounded() {
     const MOST_BREAKS: usize = 16;
-    let mut book = SuspectBook::default();
+    let mut book = SuspectTable::default();
     for number in 0..=MOST_BREAKS {
         book.broke(at(1), work("a"), &service(), end_of(number));
     }
@@ -360,7 +362,7 @@
 /// ended targets without it.
 #[test]
 fn work_that_ran_beside_two_lethal_ones_in_turn_is_condemned_for_neithers_ends() {
-    let mut book = SuspectBook::default();
+    let mut book = SuspectTable::default();
     let ends: [&[&str]; 9] = [
         &["lethal-1"],
         &["lethal-1"],
--- a/crates/suspects/tests/property.rs
+++ b/crates/suspects/tests/property.rs
@@ -1,9 +1,9 @@
 //! Lethal and innocent work at the same targets, in any order.
 
 use arbtest::{arbitrary, arbtest};
-use ids::{BirthTime, Moment, ServiceName, TargetLife, WorkDigest};
+use ids::{Moment, ServiceName, StartTime, TargetIncarnation, WorkDigest};
 use std::time::Duration;
-use suspects::{SURE_ENDS, SuspectBook, WorkEnd};
+use suspects::{SuspectTable, TargetCrash, UNCONDITIONAL_QUARANTINE_CRASHES};
 
 const ROUND: Duration = Duration::from_secs(1);
 const INNOCENT: u8 = 12;
@@ -20,15 +20,15 @@
 fn play(
     u: &mut arbitrary::Unstructured<'_>,
     lethal: u8,
-    mut check: impl FnMut(&SuspectBook, Moment),
+    mut check: impl FnMut(&SuspectTable, Moment),
 ) -> arbitrary::Result<()> {
-    let mut book = SuspectBook::default();
+    let mut book = SuspectTable::default();
     let mut now = Moment::START;
     for round in 0..40 {
         now = now + ROUND;
-        let life = TargetLife {
+        let life = TargetIncarnation {
             instance: format!("i-{round}").parse().expect("an id"),
-            born: BirthTime::default(),
+            born: StartTime::default(),
         };
         let mut beside = Vec::new();
         for number in 0..lethal {
@@ -45,7 +45,12 @@
         }
         for work in &beside {
             if ends {
-                book.broke(now, *work, &service(), WorkEnd { life: life.clone(), software: None });
+                book.broke(
+                    now,
+                    *work,
+                    &service(),
+                    TargetCrash { life: life.clone(), software: None },
+                );
             } else {
                 book.succeeded(*work);
             }
@@ -72,7 +77,10 @@
                 let innocent = work(false, number);
                 let condemned = book.condemned(now, innocent, &service());
                 // Without a bound two lethal ones could hide behind each other for ever.
-                assert!(condemned.is_empty() || book.ends(innocent) >= SURE_ENDS, "{number}");
+                assert!(
+                    condemned.is_empty() || book.ends(innocent) >= UNCONDITIONAL_QUARANTINE_CRASHES,
+                    "{number}"
+                );
             }
         })
     });
@@ -85,7 +93,10 @@
             for number in 0..4 {
                 let ends = book.ends(work(true, number));
                 let known = !book.condemned(now, work(true, number), &service()).is_empty();
-                assert!(ends < SURE_ENDS || known, "{ends} ends of {number}");
+                assert!(
+                    ends < UNCONDITIONAL_QUARANTINE_CRASHES || known,
+                    "{ends} ends of {number}"
+                );
             }
         })
     });
--- a/crates/swaps/src/conductor.rs
+++ b/crates/swaps/src/conductor.rs
@@ -30,10 +30,10 @@
 
 /// What the conductor wants done.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum SwapAction {
-    /// Send the order, then call [`SwapConductor::ordered`].
+pub enum RolloutAction {
+    /// Send the order, then call [`RolloutCoordinator::ordered`].
     Order(SwapOrder),
-    /// Read the replica, then call [`SwapConductor::read`] or [`SwapConductor::read_failed`].
+    /// Read the replica, then call [`RolloutCoordinator::read`] or [`RolloutCoordinator::read_failed`].
     Read(TargetId),
 }
 
@@ -76,7 +76,7 @@
 
 /// Rolls versions out over one domain's replicas of one pool.
 #[derive(Debug, Clone)]
-pub struct SwapConductor {
+pub struct RolloutCoordinator {
     token: FencingToken,
     wanted: ModelVersion,
     policy: SwapPolicy,
@@ -84,7 +84,7 @@
     replicas: BTreeMap<TargetId, Replica>,
 }
 
-impl SwapConductor {
+impl RolloutCoordinator {
     /// A conductor that begins at `now` under a fresh token.
     pub const fn new(now: Moment, token: FencingToken) -> Self {
         Self {
@@ -127,7 +127,7 @@
     }
 
     /// The actions due at `now`.
-    pub fn poll(&mut self, now: Moment) -> Vec<SwapAction> {
+    pub fn poll(&mut self, now: Moment) -> Vec<RolloutAction> {
         let mut actions = Vec::new();
         let mut free = self.most_under_way().saturating_sub(self.count(ReplicaView::Ordered));
         let (wanted, token) = (self.wanted, self.token);
@@ -145,7 +145,7 @@
                     replica.view = ReplicaView::Ordered;
                     replica.ordered = Some(wanted);
                     replica.trust_from = now + ORDER_LIFE;
-                    actions.push(SwapAction::Order(SwapOrder {
+                    actions.push(RolloutAction::Order(SwapOrder {
                         target: id.clone(),
                         version: wanted,
                         token,
@@ -154,7 +154,7 @@
                 }
                 ReplicaView::Holds(..) | ReplicaView::Unknown => {
                     replica.reading = true;
-                    actions.push(SwapAction::Read(id.clone()));
+                    actions.push(RolloutAction::Read(id.clone()));
                 }
             }
         }
--- a/crates/targets/src/engine.rs
+++ b/crates/targets/src/engine.rs
@@ -1,6 +1,6 @@
 //! What an engine takes and says.
 
-use ids::{AnswerDigest, FencingToken, Incarnation, ModelVersion, RequestId, TokenCount};
+use ids::{ContentDigest, FencingToken, Incarnation, ModelVersion, RequestId, TokenCount};
 use serde::{Deserialize, Serialize};
 
 /// Characters that one token takes in the stand-in's text; real engines vary.
@@ -42,7 +42,7 @@
         /// Tokens in the whole answer.
         tokens: TokenCount,
         /// Digest of the whole text.
-        digest: AnswerDigest,
+        digest: ContentDigest,
     },
 }
 
@@ -88,7 +88,7 @@
 /// An engine's definite answer to an order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum OrderAnswer {
+pub enum OrderResponse {
     /// It holds the version now.
     Done,
     /// It refused; nothing changed.
--- a/crates/targets/src/engine_client.rs
+++ b/crates/targets/src/engine_client.rs
@@ -6,7 +6,7 @@
 use reqwest::{Client, Response, StatusCode};
 
 use crate::{
-    EngineLine, EngineState, GenerateRequest, NOT_RUN_HEADER, OrderAnswer, OrderRequest,
+    EngineLine, EngineState, GenerateRequest, NOT_RUN_HEADER, OrderRequest, OrderResponse,
     REQUEST_ID_HEADER, TRACEPARENT_HEADER, TargetError,
 };
 
@@ -68,7 +68,7 @@
     }
 
     /// Sends an order and waits for the definite answer.
-    pub async fn order(&self, order: &OrderRequest) -> Result<OrderAnswer, TargetError> {
+    pub async fn order(&self, order: &OrderRequest) -> Result<OrderResponse, TargetError> {
         let response = self
             .client
             .post(format!("{}/v1/orders", self.base))
--- a/crates/targets/src/error.rs
+++ b/crates/targets/src/error.rs
@@ -16,7 +16,7 @@
 
 impl TargetError {
     /// Whether the work surely did not run.
-    pub const fn surely_not_run(&self) -> bool {
+    pub const fn definitely_not_run(&self) -> bool {
         matches!(self, Self::NotSent | Self::Refused(_))
     }
 }
--- a/crates/targets/src/lib.rs
+++ b/crates/targets/src/lib.rs
@@ -9,11 +9,11 @@
 mod plain;
 
 pub use engine::{
-    EngineLine, EngineState, GenerateRequest, LoadReport, OrderAnswer, OrderRequest, TOKEN_CHARS,
+    EngineLine, EngineState, GenerateRequest, LoadReport, OrderRequest, OrderResponse, TOKEN_CHARS,
 };
 pub use engine_client::{EngineClient, EngineStream};
 pub use error::TargetError;
-pub use plain::{PlainAnswer, PlainClient, PlainRequest, ScoreAnswer, ScoreRequest};
+pub use plain::{PlainClient, PlainRequest, PlainResponse, ScoreRequest, ScoreResponse};
 
 /// Header that carries the request's id.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
--- a/crates/targets/src/plain.rs
+++ b/crates/targets/src/plain.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use ids::{AnswerDigest, RequestId};
+use ids::{ContentDigest, RequestId};
 use reqwest::{Client, StatusCode};
 use serde::{Deserialize, Serialize};
 
@@ -29,7 +29,7 @@
 
 /// A service's whole answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct PlainAnswer {
+pub struct PlainResponse {
     /// HTTP status.
     pub status: u16,
     /// Media type of the body.
@@ -49,7 +49,7 @@
 
 /// A scorer's judgement.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct ScoreAnswer {
+pub struct ScoreResponse {
     /// The score.
     pub score: f64,
 }
@@ -72,7 +72,7 @@
         &self,
         request: &PlainRequest,
         traceparent: &str,
-    ) -> Result<PlainAnswer, TargetError> {
+    ) -> Result<PlainResponse, TargetError> {
         let method = reqwest::Method::from_bytes(request.method.as_bytes())
             .map_err(|_bad| TargetError::Refused(format!("method {}", request.method)))?;
         let response = self
@@ -93,17 +93,18 @@
         let header = |name: &str| {
             response.headers().get(name).and_then(|value| value.to_str().ok()).map(str::to_owned)
         };
-        let stated: Option<AnswerDigest> = header(DIGEST_HEADER).and_then(|text| text.parse().ok());
+        let stated: Option<ContentDigest> =
+            header(DIGEST_HEADER).and_then(|text| text.parse().ok());
         let content_type = header("content-type").unwrap_or_default();
         let body = response.bytes().await?;
-        if stated.is_some_and(|digest| digest != AnswerDigest::of(&body)) {
+        if stated.is_some_and(|digest| digest != ContentDigest::of(&body)) {
             return Err(TargetError::Broken("the body does not match its digest".to_owned()));
         }
-        Ok(PlainAnswer { status: status.as_u16(), content_type, body })
+        Ok(PlainResponse { status: status.as_u16(), content_type, body })
     }
 
     /// Asks for a score; asking again is harmless.
-    pub async fn score(&self, request: &ScoreRequest) -> Result<ScoreAnswer, TargetError> {
+    pub async fn score(&self, request: &ScoreRequest) -> Result<ScoreResponse, TargetError> {
         let response = self
             .client
             .post(format!("{}/v1/score", self.base))
--- a/crates/targets/tests/clients.rs
+++ b/crates/targets/tests/clients.rs
@@ -8,7 +8,7 @@
 use standins::engine_model::EngineSettings;
 use standins::plain::{PlainFaults, PlainState, router as plain_router};
 use targets::{
-    EngineClient, EngineLine, GenerateRequest, OrderAnswer, OrderRequest, PlainClient,
+    EngineClient, EngineLine, GenerateRequest, OrderRequest, OrderResponse, PlainClient,
     PlainRequest, TargetError,
 };
 use tokio::net::TcpListener;
@@ -70,14 +70,14 @@
     let (standin, client) = engine(EngineSettings::default()).await;
     standin.set_faults(EngineFaults { cut_streams: 1, ..EngineFaults::default() });
     let error = lines(&client).await.expect_err("cut");
-    assert!(!error.surely_not_run(), "{error}");
+    assert!(!error.definitely_not_run(), "{error}");
 }
 
 #[tokio::test]
 async fn a_leaving_engine_says_that_it_did_not_run() {
     let (standin, client) = engine(EngineSettings::default()).await;
     standin.set_faults(EngineFaults { leaving: true, ..EngineFaults::default() });
-    assert!(lines(&client).await.expect_err("refused").surely_not_run());
+    assert!(lines(&client).await.expect_err("refused").definitely_not_run());
 }
 
 #[tokio::test]
@@ -91,9 +91,9 @@
             token: FencingToken::new(token),
             life_ms: 5_000,
         };
-        assert_eq!(client.order(&order(2, 5)).await, Ok(OrderAnswer::Done));
+        assert_eq!(client.order(&order(2, 5)).await, Ok(OrderResponse::Done));
         let answer = client.order(&order(3, 4)).await.expect("an answer");
-        assert_eq!(matches!(answer, OrderAnswer::Refused { .. }), refused);
+        assert_eq!(matches!(answer, OrderResponse::Refused { .. }), refused);
     }
 }
 
@@ -104,7 +104,7 @@
     let order =
         OrderRequest { version: ModelVersion::new(2), token: FencingToken::new(1), life_ms: 5_000 };
     let error = client.order(&order).await.expect_err("lost");
-    assert!(!error.surely_not_run());
+    assert!(!error.definitely_not_run());
 }
 
 fn plain(id: &str) -> PlainRequest {
@@ -124,9 +124,9 @@
     let client = PlainClient::new(&address, reqwest::Client::new());
     assert_eq!(client.call(&plain("ok"), "").await.map(|answer| answer.status), Ok(200));
     state.set_faults(PlainFaults { refuse: 1, ..PlainFaults::default() });
-    assert!(client.call(&plain("refused"), "").await.expect_err("refused").surely_not_run());
+    assert!(client.call(&plain("refused"), "").await.expect_err("refused").definitely_not_run());
     state.set_faults(PlainFaults { corrupt: 1, ..PlainFaults::default() });
-    assert!(!client.call(&plain("damaged"), "").await.expect_err("damaged").surely_not_run());
+    assert!(!client.call(&plain("damaged"), "").await.expect_err("damaged").definitely_not_run());
     let runs = state.counts().runs;
     assert_eq!(
         (runs.get("ok"), runs.get("refused"), runs.get("damaged")),
--- a/crates/upstream/src/answer.rs
+++ b/crates/upstream/src/answer.rs
@@ -17,7 +17,7 @@
 const KEEP_MARGIN: Duration = Duration::from_millis(300);
 
 /// An answer whose body is still on its way. Dropping it closes the connection.
-pub struct TargetAnswer {
+pub struct TargetResponse {
     pool: TargetPool,
     address: SocketAddr,
     connection: Connection,
@@ -26,7 +26,7 @@
     body: Incoming,
 }
 
-impl std::fmt::Debug for TargetAnswer {
+impl std::fmt::Debug for TargetResponse {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("TargetAnswer")
             .field("address", &self.address)
@@ -37,7 +37,7 @@
 
 /// An answer that came whole.
 #[derive(Debug, Clone)]
-pub struct WholeAnswer {
+pub struct FullResponse {
     /// Its status.
     pub status: StatusCode,
     /// Its headers.
@@ -46,7 +46,7 @@
     pub body: Bytes,
 }
 
-impl TargetAnswer {
+impl TargetResponse {
     pub(crate) fn new(
         pool: TargetPool,
         address: SocketAddr,
@@ -101,7 +101,7 @@
     }
 
     /// Reads the whole body, `most` bytes at most, and gives the connection back.
-    pub async fn whole(mut self, most: usize) -> Result<WholeAnswer, SendError> {
+    pub async fn whole(mut self, most: usize) -> Result<FullResponse, SendError> {
         let mut body = BytesMut::new();
         while let Some(bytes) = self.next().await? {
             if body.len() + bytes.len() > most {
@@ -109,8 +109,11 @@
             }
             body.extend_from_slice(&bytes);
         }
-        let whole =
-            WholeAnswer { status: self.status, headers: self.headers.clone(), body: body.freeze() };
+        let whole = FullResponse {
+            status: self.status,
+            headers: self.headers.clone(),
+            body: body.freeze(),
+        };
         self.reuse();
         Ok(whole)
     }
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -9,6 +9,6 @@
 mod limit;
 mod pool;
 
-pub use answer::{TargetAnswer, WholeAnswer, keep_time};
+pub use answer::{FullResponse, TargetResponse, keep_time};
 pub use limit::{ConnectionLimit, ConnectionPlace};
 pub use pool::{PortState, SendError, TargetPool};
--- a/crates/upstream/src/limit.rs
+++ b/crates/upstream/src/limit.rs
@@ -46,7 +46,7 @@
     }
 
     /// Whether another item may be started, with as many connections open as there are.
-    pub fn has_room(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         self.open() < self.most - self.most / SPARE_PARTS
     }
 
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -16,7 +16,7 @@
 use tokio::time::{self, Instant};
 use tokio_util::sync::{CancellationToken, DropGuard};
 
-use crate::{ConnectionLimit, ConnectionPlace, TargetAnswer};
+use crate::{ConnectionLimit, ConnectionPlace, TargetResponse};
 
 /// Longest wait for a connection; targets answer in about a millisecond, and a lost opening
 /// packet is repeated only after a second.
@@ -90,17 +90,17 @@
     }
 
     /// Whether another item may be started; resting connections give way where there is no room beside them.
-    pub fn has_room(&self) -> bool {
-        if !self.limit.has_room() {
-            self.forget_resting();
+    pub fn has_capacity(&self) -> bool {
+        if !self.limit.has_capacity() {
+            self.close_idle();
         }
-        self.limit.has_room()
+        self.limit.has_capacity()
     }
 
     /// A place for a connection; resting ones give theirs up where there is none.
     fn place(&self) -> Option<ConnectionPlace> {
         self.limit.take().or_else(|| {
-            self.forget_resting();
+            self.close_idle();
             self.limit.take()
         })
     }
@@ -115,7 +115,7 @@
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
-    ) -> Result<TargetAnswer, SendError> {
+    ) -> Result<TargetResponse, SendError> {
         let mut request = request;
         while let Some(mut connection) = self.take(address) {
             match connection.sender.try_send_request(request).await {
@@ -126,15 +126,15 @@
                 },
             }
         }
-        self.send_fresh(address, request).await
+        self.send_on_new_connection(address, request).await
     }
 
     /// Sends a request on a connection of its own.
-    pub async fn send_fresh(
+    pub async fn send_on_new_connection(
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
-    ) -> Result<TargetAnswer, SendError> {
+    ) -> Result<TargetResponse, SendError> {
         let Some(place) = self.place() else { return Err(SendError::NoRoom) };
         let connected = time::timeout(CONNECT_TIMEOUT, connect(address, place)).await;
         let Ok(Some(mut connection)) = connected else {
@@ -163,8 +163,8 @@
         address: SocketAddr,
         connection: Connection,
         response: Response<Incoming>,
-    ) -> TargetAnswer {
-        TargetAnswer::new(self.clone(), address, connection, response)
+    ) -> TargetResponse {
+        TargetResponse::new(self.clone(), address, connection, response)
     }
 
     fn take(&self, address: SocketAddr) -> Option<Connection> {
@@ -198,7 +198,7 @@
 
     /// Closes all resting connections: what made one of them fall silent may have met others, and each
     /// would cost its request the time until that shows. New ones cost a millisecond each.
-    pub fn forget_resting(&self) {
+    pub fn close_idle(&self) {
         self.lock().clear();
     }
 
--- a/crates/upstream/tests/hostile.rs
+++ b/crates/upstream/tests/hostile.rs
@@ -10,7 +10,7 @@
 use http_body_util::Full;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
-use upstream::{SendError, TargetPool, WholeAnswer};
+use upstream::{FullResponse, SendError, TargetPool};
 
 const MOST: usize = 1 << 16;
 const GOOD: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
@@ -66,7 +66,7 @@
     }
 }
 
-async fn ask(pool: &TargetPool, address: SocketAddr) -> Result<WholeAnswer, SendError> {
+async fn ask(pool: &TargetPool, address: SocketAddr) -> Result<FullResponse, SendError> {
     let request = Request::post("/x").header("host", "h").body(Full::new(Bytes::from_static(b"q")));
     pool.send(address, request.expect("a request")).await?.whole(MOST).await
 }
--- a/crates/upstream/tests/limit.rs
+++ b/crates/upstream/tests/limit.rs
@@ -31,7 +31,7 @@
 fn items_stop_before_the_last_places_are_taken() {
     let limit = ConnectionLimit::for_descriptors(8_200);
     let mut items = Vec::new();
-    while limit.has_room() {
+    while limit.has_capacity() {
         items.push(limit.take().expect("there is room"));
     }
     let mut rewards = Vec::new();
@@ -41,7 +41,7 @@
     assert!(rewards.len() >= 500, "{} places for reward calls", rewards.len());
     assert_eq!(limit.open(), limit.most());
     drop(items);
-    assert!(limit.has_room(), "ended items give their places back");
+    assert!(limit.has_capacity(), "ended items give their places back");
 }
 
 /// A target that answers each request on a connection of its own, and keeps all of them.
@@ -77,12 +77,12 @@
         let address = patient_target().await;
         answers.push(pool.send(address, request()).await.expect("an answer"));
     }
-    assert!(!pool.has_room(), "they run");
+    assert!(!pool.has_capacity(), "they run");
     for answer in answers {
         answer.whole(16).await.expect("whole");
     }
     assert_eq!(pool.limit().open(), pool.limit().most(), "they rest");
-    assert!(pool.has_room());
+    assert!(pool.has_capacity());
 }
 
 #[tokio::test]
@@ -95,10 +95,10 @@
     assert_eq!(pool.limit().open(), 1, "it rests");
     let mut running = Vec::new();
     for _ in 0..most {
-        running.push(pool.send_fresh(address, request()).await.expect("an answer"));
+        running.push(pool.send_on_new_connection(address, request()).await.expect("an answer"));
     }
-    let refused = pool.send_fresh(address, request()).await;
+    let refused = pool.send_on_new_connection(address, request()).await;
     assert!(matches!(refused, Err(SendError::NoRoom)), "{refused:?}");
     running.pop();
-    pool.send_fresh(address, request()).await.expect("an answer");
+    pool.send_on_new_connection(address, request()).await.expect("an answer");
 }
--- a/crates/upstream/tests/silent.rs
+++ b/crates/upstream/tests/silent.rs
@@ -10,7 +10,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time;
-use upstream::{SendError, TargetPool, WholeAnswer};
+use upstream::{FullResponse, SendError, TargetPool};
 
 /// Longer than any answer takes; a test that reaches it has failed.
 const LONG: Duration = Duration::from_secs(20);
@@ -40,7 +40,7 @@
     proxy
 }
 
-async fn send(pool: &TargetPool, address: SocketAddr) -> Result<WholeAnswer, SendError> {
+async fn send(pool: &TargetPool, address: SocketAddr) -> Result<FullResponse, SendError> {
     let request = Request::get("/").body(Full::new(Bytes::new())).expect("a request");
     pool.send(address, request).await?.whole(1 << 10).await
 }
@@ -54,7 +54,7 @@
     proxy.silence();
     let silent = time::timeout(PATIENCE, send(&pool, proxy.address)).await;
     assert!(silent.is_err(), "a kept connection was used, and is silent");
-    pool.forget_resting();
+    pool.close_idle();
     let answer = time::timeout(LONG, send(&pool, proxy.address)).await.expect("in time");
     assert_eq!(answer.expect("on a new connection").body.as_ref(), b"ok");
 }
--- a/crates/usage/src/clock.rs
+++ b/crates/usage/src/clock.rs
@@ -46,7 +46,7 @@
 
 /// True time as one box knows it.
 #[derive(Debug, Clone, Default)]
-pub struct TrueClock {
+pub struct ClusterClock {
     /// What is added to the steady clock, in milliseconds.
     offset: Option<i64>,
     /// Whether enough boxes have agreed on it for it to be held.
@@ -56,7 +56,7 @@
     voices: HashMap<BoxId, Voice>,
 }
 
-impl TrueClock {
+impl ClusterClock {
     /// Takes what a box, this one or another, reads as its time of day now.
     pub fn hear(&mut self, now: Moment, from: &BoxId, time: UnixTime) {
         let voice = Voice { offset: offset_of(now, time), heard_at: now };
--- a/crates/usage/src/lib.rs
+++ b/crates/usage/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! The box that sends a request to a target counts it, in a [`UsageTable`] under its own name and life. Counts
 //! travel as absolute numbers, so that a repeat adds nothing, and the box that reports merges those of all others.
-//! [`TrueClock`] says in which window a request began, although the time of day of some boxes steps.
+//! [`ClusterClock`] says in which window a request began, although the time of day of some boxes steps.
 //! [`ReportPlan`] says what the reporting box does next. It fixes the counts of a window in the store before they
 //! are sent: whoever sends that window again sends the very same.
 //!
@@ -13,7 +13,7 @@
 mod table;
 mod window;
 
-pub use clock::{TrueClock, UnixTime};
-pub use plan::{FixedReport, ReportAction, ReportPlan, ReportTimes, SendOutcome, StoreOutcome};
+pub use clock::{ClusterClock, UnixTime};
+pub use plan::{ReportAction, ReportPlan, ReportTimes, SendOutcome, StoreOutcome, UsageReport};
 pub use table::{CountSource, TableVersion, UsageCount, UsageTable};
 pub use window::{UsageWindow, WindowLength};
--- a/crates/usage/src/plan.rs
+++ b/crates/usage/src/plan.rs
@@ -15,7 +15,7 @@
 
 /// A report as it stands in the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FixedReport {
+pub struct UsageReport {
     /// The window.
     pub window: UsageWindow,
     /// Requests that targets began in it, by customer.
@@ -57,7 +57,7 @@
 pub enum ReportAction {
     /// Read the object of the last report, then call [`ReportPlan::read_done`].
     Read,
-    /// Write this report in its place, with the counts of its window, then call [`ReportPlan::fix_done`].
+    /// Write this report in its place, with the counts of its window, then call [`ReportPlan::commit_done`].
     Fix {
         /// The window whose counts are due.
         window: UsageWindow,
@@ -65,14 +65,14 @@
         expect: ObjectVersion,
     },
     /// Send this report, then call [`ReportPlan::send_done`].
-    Send(FixedReport),
+    Send(UsageReport),
 }
 
 /// How a call about the object ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreOutcome {
     /// It holds this report, under this version.
-    Holds(ObjectVersion, FixedReport),
+    Holds(ObjectVersion, UsageReport),
     /// There is no such object.
     Absent,
     /// It is another than the write was conditional on, or nobody knows.
@@ -99,7 +99,7 @@
     /// There is no report yet.
     Absent,
     /// The last report, and whether it was taken.
-    Report { version: ObjectVersion, report: FixedReport, taken: bool },
+    Report { version: ObjectVersion, report: UsageReport, taken: bool },
 }
 
 /// The reports of one holder of the duty.
@@ -157,7 +157,7 @@
     }
 
     /// Takes how the write of a report ended.
-    pub fn fix_done(&mut self, outcome: StoreOutcome) {
+    pub fn commit_done(&mut self, outcome: StoreOutcome) {
         match outcome {
             StoreOutcome::Holds(version, report) => {
                 self.known = Known::Report { version, report, taken: false };
--- a/crates/usage/tests/plan.rs
+++ b/crates/usage/tests/plan.rs
@@ -6,7 +6,7 @@
 use arbtest::arbtest;
 use ids::{CustomerName, ObjectVersion};
 use usage::{
-    FixedReport, ReportAction, ReportPlan, ReportTimes, SendOutcome, StoreOutcome, UnixTime,
+    ReportAction, ReportPlan, ReportTimes, SendOutcome, StoreOutcome, UnixTime, UsageReport,
     UsageWindow, WindowLength,
 };
 
@@ -27,9 +27,9 @@
     UnixTime::new((FIRST + 1) * 5_000 + millis)
 }
 
-fn report(window: u64, requests: u64) -> FixedReport {
+fn report(window: u64, requests: u64) -> UsageReport {
     let customer: CustomerName = "cuka".parse().expect("a name");
-    FixedReport { window: UsageWindow::new(window), counts: BTreeMap::from([(customer, requests)]) }
+    UsageReport { window: UsageWindow::new(window), counts: BTreeMap::from([(customer, requests)]) }
 }
 
 fn fix(window: u64, version: u64) -> ReportAction {
@@ -44,7 +44,7 @@
     plan.read_done(StoreOutcome::Absent);
     assert_eq!(plan.poll(after_first(1_900), true), None);
     assert_eq!(plan.poll(after_first(2_000), true), Some(fix(FIRST, 0)));
-    plan.fix_done(StoreOutcome::Holds(ObjectVersion::new(9), report(FIRST, 4)));
+    plan.commit_done(StoreOutcome::Holds(ObjectVersion::new(9), report(FIRST, 4)));
     assert_eq!(plan.poll(after_first(2_000), true), Some(ReportAction::Send(report(FIRST, 4))));
     plan.send_done(UsageWindow::new(FIRST), SendOutcome::Taken);
     assert_eq!(plan.last_taken(), Some(UsageWindow::new(FIRST)));
@@ -97,12 +97,12 @@
     for outcome in [StoreOutcome::Unsure, StoreOutcome::Absent] {
         let mut plan = plan();
         plan.read_done(StoreOutcome::Absent);
-        plan.fix_done(outcome);
+        plan.commit_done(outcome);
         assert_eq!(plan.poll(after_first(2_000), true), Some(ReportAction::Read));
     }
     let mut plan = plan();
     plan.read_done(StoreOutcome::Absent);
-    plan.fix_done(StoreOutcome::NotDone);
+    plan.commit_done(StoreOutcome::NotDone);
     assert_eq!(plan.poll(after_first(2_000), true), Some(fix(FIRST, 0)));
 }
 
@@ -110,7 +110,7 @@
 #[derive(Default)]
 struct Store {
     version: u64,
-    report: Option<FixedReport>,
+    report: Option<UsageReport>,
 }
 
 impl Store {
@@ -122,7 +122,7 @@
     }
 
     /// A conditional write; `true` when it took effect.
-    fn write(&mut self, expect: ObjectVersion, report: FixedReport) -> bool {
+    fn write(&mut self, expect: ObjectVersion, report: UsageReport) -> bool {
         if expect.get() != self.version {
             return false;
         }
@@ -137,7 +137,7 @@
     arbtest(|u| {
         let mut store = Store::default();
         let mut plans = [plan(), plan(), plan()];
-        let mut sent: BTreeMap<UsageWindow, FixedReport> = BTreeMap::new();
+        let mut sent: BTreeMap<UsageWindow, UsageReport> = BTreeMap::new();
         // An action that was polled may be carried out much later, after others': a process may be stopped there.
         let mut pending: [Option<ReportAction>; 3] = [None, None, None];
         let mut now = 0;
@@ -158,7 +158,7 @@
             match action {
                 ReportAction::Read if weak => plans[who].read_done(StoreOutcome::NotDone),
                 ReportAction::Read => plans[who].read_done(store.read()),
-                ReportAction::Fix { .. } if weak => plans[who].fix_done(StoreOutcome::NotDone),
+                ReportAction::Fix { .. } if weak => plans[who].commit_done(StoreOutcome::NotDone),
                 ReportAction::Fix { window, expect } => {
                     // Each box counts differently.
                     let fixed = report(window.get(), counted);
@@ -168,7 +168,7 @@
                     } else {
                         StoreOutcome::Unsure
                     };
-                    plans[who].fix_done(outcome);
+                    plans[who].commit_done(outcome);
                 }
                 ReportAction::Send(fixed) => {
                     let outcome = if weak { SendOutcome::Failed } else { SendOutcome::Taken };
@@ -200,7 +200,7 @@
                     let fixed = report(window.get(), turn);
                     assert!(store.write(expect, fixed.clone()));
                     let version = ObjectVersion::new(store.version);
-                    plan.fix_done(StoreOutcome::Holds(version, fixed));
+                    plan.commit_done(StoreOutcome::Holds(version, fixed));
                 }
                 Some(ReportAction::Send(fixed)) => {
                     taken.push(fixed.window.get());
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -3,10 +3,10 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-use coord::members::{Heartbeat, MemberRecord, ToldRecord};
+use coord::members::{Heartbeat, MemberRecord, RelayedRecord};
 use ids::{Generation, IdError, Incarnation};
 
-use crate::peer::{Beat, Member};
+use crate::peer::{BoxHeartbeat, Member};
 
 /// Why a message was refused.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -25,8 +25,8 @@
 }
 
 /// A beat for the wire; the target list's revision rides along.
-pub fn beat_to_wire(beat: &Heartbeat, targets_revision: Generation) -> Beat {
-    Beat {
+pub fn heartbeat_to_wire(beat: &Heartbeat, targets_revision: Generation) -> BoxHeartbeat {
+    BoxHeartbeat {
         box_id: beat.from.to_string(),
         incarnation: beat.incarnation.get(),
         leaving: beat.leaving,
@@ -38,9 +38,9 @@
 }
 
 /// A beat from the wire.
-pub fn beat_from_wire(beat: Beat) -> Result<Heartbeat, ConvertError> {
+pub fn heartbeat_from_wire(beat: BoxHeartbeat) -> Result<Heartbeat, ConvertError> {
     let record = beat.record.map(member_from_wire).transpose()?;
-    let told: Result<Vec<ToldRecord>, ConvertError> =
+    let told: Result<Vec<RelayedRecord>, ConvertError> =
         beat.told.into_iter().map(member_from_wire).collect();
     Ok(Heartbeat {
         from: parse_id(&beat.box_id)?,
@@ -63,7 +63,7 @@
     }
 }
 
-fn member_from_wire(member: Member) -> Result<ToldRecord, ConvertError> {
+fn member_from_wire(member: Member) -> Result<RelayedRecord, ConvertError> {
     let record = MemberRecord {
         id: parse_id(&member.box_id)?,
         domain: parse_id(&member.domain)?,
@@ -71,5 +71,5 @@
         address: member.address,
         leaving: member.leaving,
     };
-    Ok(ToldRecord { record, age: Duration::from_millis(u64::from(member.age_ms)) })
+    Ok(RelayedRecord { record, age: Duration::from_millis(u64::from(member.age_ms)) })
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -23,5 +23,5 @@
 
 pub use auth::{DeploymentKey, KeyError};
 pub use codec::{CodecError, FrameCodec, MAX_FRAME};
-pub use convert::{ConvertError, beat_from_wire, beat_to_wire, parse_id};
-pub use tally::{AnswerTally, TallyError};
+pub use convert::{ConvertError, heartbeat_from_wire, heartbeat_to_wire, parse_id};
+pub use tally::{ChecksumMismatch, ResponseChecksum};
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -5,8 +5,8 @@
 use ids::BoxId;
 use tokio_util::codec::{Decoder, Encoder};
 use wire::peer::frame::Body;
-use wire::peer::{Cancel, Frame, Item, PlainPart, item};
-use wire::{AnswerTally, DeploymentKey, FrameCodec, MAX_FRAME};
+use wire::peer::{Cancel, Frame, PlainPart, ResponseItem, response_item};
+use wire::{DeploymentKey, FrameCodec, MAX_FRAME, ResponseChecksum};
 
 fn frame(call: u64, why: &str) -> Frame {
     Frame { call, body: Some(Body::Cancel(Cancel { why: why.to_owned() })) }
@@ -58,22 +58,22 @@
     FrameCodec::default().decode(&mut bytes).unwrap_err();
 }
 
-fn part(body: &'static [u8]) -> Item {
+fn part(body: &'static [u8]) -> ResponseItem {
     let part = PlainPart { status: 200, content_type: String::new(), body: body.into() };
-    Item { body: Some(item::Body::PlainPart(part)) }
+    ResponseItem { body: Some(response_item::Body::PlainPart(part)) }
 }
 
 #[test]
 fn an_end_passes_only_for_the_items_it_counts() {
-    let mut sent = AnswerTally::default();
+    let mut sent = ResponseChecksum::default();
     sent.count(&part(b"one"));
     sent.count(&part(b"two"));
-    let mut whole = AnswerTally::default();
+    let mut whole = ResponseChecksum::default();
     whole.count(&part(b"one"));
     whole.count(&part(b"two"));
     whole.check(&sent.end()).unwrap();
     for items in [&[b"one"][..], &[b"two", b"one"], &[b"one", b"two", b"two"], &[b"one", b"twx"]] {
-        let mut came = AnswerTally::default();
+        let mut came = ResponseChecksum::default();
         for body in items {
             came.count(&part(*body));
         }
--- a/crates/xtask/src/mutate.rs
+++ b/crates/xtask/src/mutate.rs
@@ -148,7 +148,7 @@
     Mutation {
         name: "6: every request is repeated",
         file: "crates/gannetwayd/src/http/plain.rs",
-        from: "let safe = self.repeatable || error.surely_not_run();",
+        from: "let safe = self.repeatable || error.definitely_not_run();",
         to: "let safe = true;",
         package: "demo",
         test: "not_to_be_repeated",
@@ -244,7 +244,7 @@
     Mutation {
         name: "customers: a box whose settings may be old calls keys unknown",
         file: "crates/front/src/admission.rs",
-        from: "    let sure = view.knows_settings();",
+        from: "    let sure = view.has_fresh_config();",
         to: "    let sure = view.is_configured();",
         package: "platform-standin",
         test: "a_box_that_cannot_be_sure",
@@ -308,7 +308,7 @@
     Mutation {
         name: "suspects: only work with as many ends explains an end",
         file: "crates/suspects/src/book.rs",
-        from: "count >= other.count() || (count >= CONDEMNING_ENDS && alone() >= OWN_ENDS)",
+        from: "count >= other.count() || (count >= QUARANTINE_CRASHES && alone() >= OWN_ENDS)",
         to: "count >= other.count() || (false && alone() >= OWN_ENDS)",
         package: "suspects",
         test: "work_that_ran_beside_two",
@@ -540,7 +540,7 @@
     Mutation {
         name: "platform: items wait for connections that rest",
         file: "crates/upstream/src/pool.rs",
-        from: "        if !self.limit.has_room() {\n            self.forget_resting();\n        }\n",
+        from: "        if !self.limit.has_capacity() {\n            self.close_idle();\n        }\n",
         to: "",
         package: "upstream",
         test: "resting_connections_hold_up_no_item",
@@ -564,7 +564,7 @@
     Mutation {
         name: "suspects: the end of a target that leaves counts",
         file: "crates/node/src/sinks.rs",
-        from: "                    self.view.suspects().acquit(&record.life());\n",
+        from: "                    self.view.suspects().clear_incarnation(&record.life());\n",
         to: "",
         package: "platform-standin",
         test: "targets_that_leave_condemn_nobody",
@@ -580,8 +580,8 @@
     Mutation {
         name: "suspects: two lethal works hide behind each other",
         file: "crates/suspects/src/verdict.rs",
-        from: "self.ends >= SURE_ENDS || ",
-        to: "self.ends >= 99 * SURE_ENDS || ",
+        from: "self.ends >= UNCONDITIONAL_QUARANTINE_CRASHES\n            || ",
+        to: "self.ends >= 99 * UNCONDITIONAL_QUARANTINE_CRASHES\n            || ",
         package: "suspects",
         test: "always_end_targets_together",
     },
@@ -620,8 +620,8 @@
     Mutation {
         name: "suspects: a box that starts waits before it believes what is told",
         file: "crates/suspects/src/book.rs",
-        from: "            suspect.settled |= suspect.heard.len() >= CONDEMNING_ENDS;",
-        to: "            suspect.settled |= suspect.heard.len() >= 99 * CONDEMNING_ENDS;",
+        from: "            suspect.settled |= suspect.heard.len() >= QUARANTINE_CRASHES;",
+        to: "            suspect.settled |= suspect.heard.len() >= 99 * QUARANTINE_CRASHES;",
         package: "suspects",
         test: "a_box_that_starts_knows",
     },
