--- a/crates/bench/src/beats.rs
+++ b/crates/bench/src/beats.rs
@@ -69,7 +69,7 @@
         // As the platform's list seeds it.
         for other in &records {
             let told = RelayedRecord { record: other.clone(), age: Duration::ZERO };
-            table.told(Moment::START, told);
+            table.merge_relayed(Moment::START, told);
         }
         tables.insert(me.address.clone(), table);
     }
@@ -94,7 +94,7 @@
             }
             let started = Instant::now();
             if let Some(table) = tables.get_mut(&out.to) {
-                table.heard(now, out.beat);
+                table.receive_heartbeat(now, out.beat);
             }
             busy += started.elapsed();
             handled += 1;
--- a/crates/bench/src/decisions.rs
+++ b/crates/bench/src/decisions.rs
@@ -89,7 +89,8 @@
             deadline: Moment::START + Duration::from_mins(1),
         };
         let time = each(CALLS, || {
-            if let Admission::Go(ticket) = queue.ask(Moment::START, ask.clone()) {
+            if let Admission::Admitted(ticket) = queue.request_admission(Moment::START, ask.clone())
+            {
                 queue.ended(ticket, TokenCount::new(100));
             }
             black_box(queue.poll(Moment::START).len());
@@ -192,7 +193,7 @@
                 match action {
                     RolloutAction::Order(order) => {
                         orders += 1;
-                        conductor.ordered(now, &order.target, Some(true));
+                        conductor.order_completed(now, &order.target, Some(true));
                     }
                     RolloutAction::Read(id) => {
                         reads += 1;
--- a/crates/bench/src/suspects.rs
+++ b/crates/bench/src/suspects.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use ids::{Moment, ServiceName, StartTime, TargetIncarnation, WorkDigest};
-use suspects::{MOST_ENDS, QUARANTINE_CRASHES, SuspectTable, SuspectWrite, TargetCrash};
+use suspects::{MAX_CRASHES, QUARANTINE_CRASHES, SuspectTable, SuspectWrite, TargetCrash};
 
 use crate::table;
 
@@ -20,20 +20,20 @@
     let at = Moment::after_start(Duration::from_hours(1));
     let before = resident_kb();
     let mut book = SuspectTable::default();
-    for number in 0..MOST_ENDS {
+    for number in 0..MAX_CRASHES {
         let life = TargetIncarnation {
             instance: format!("i-{number:010}").parse().expect("an id"),
             born: StartTime::new(1_779_616_324_046),
         };
         for work in 0..WORKS {
             let end = TargetCrash { life: life.clone(), software: "v1".parse().ok() };
-            book.broke(at, work_digest(work), &service, end);
+            book.record_break(at, work_digest(work), &service, end);
         }
-        book.refuses(at, &life);
+        book.connection_refused(at, &life);
     }
     let after = resident_kb();
     let record = book.due_writes().into_iter().find_map(|write| match write {
-        SuspectWrite::Tell { record, .. } => Some(record),
+        SuspectWrite::Publish { record, .. } => Some(record),
         SuspectWrite::Clear { .. } => None,
     });
     let told = record.map_or(0, |mut record| {
@@ -47,7 +47,7 @@
     });
     let begun = Instant::now();
     for number in 0..VERDICTS {
-        black_box(book.suspected(work_digest(number as usize), &service));
+        black_box(book.suspected_versions(work_digest(number as usize), &service));
     }
     let verdict = begun.elapsed() / VERDICTS;
     let body = vec![7_u8; 1 << 10];
@@ -66,7 +66,7 @@
     ];
     let row = vec![
         book.len().to_string(),
-        MOST_ENDS.to_string(),
+        MAX_CRASHES.to_string(),
         told.to_string(),
         after.saturating_sub(before).to_string(),
         format!("{:.1}", verdict.as_secs_f64() * 1e6),
--- a/crates/client/src/step.rs
+++ b/crates/client/src/step.rs
@@ -173,7 +173,7 @@
             Err(error) => return Err(error),
         };
         let state = answer.state;
-        let taken = self.intake.take(state.token, state.rule, answer.samples);
+        let taken = self.intake.accept(state.token, state.rule, answer.samples);
         // An answer under an older token came from a keeper that has been replaced: pull again.
         let Ok(intake) = taken else { return Ok(Vec::new()) };
         self.state = state;
--- a/crates/coord/src/follower.rs
+++ b/crates/coord/src/follower.rs
@@ -76,7 +76,7 @@
     }
 
     /// Notes the generation a peer says it has.
-    pub fn heard(&mut self, generation: Generation, peer: &BoxId) {
+    pub fn observe_generation(&mut self, generation: Generation, peer: &BoxId) {
         let known = self.ahead.as_ref().map_or(self.generation, |(ahead, _)| *ahead);
         if generation > known {
             self.ahead = Some((generation, peer.clone()));
--- a/crates/coord/src/lease.rs
+++ b/crates/coord/src/lease.rs
@@ -251,7 +251,7 @@
 
     /// Takes what a holder said of its own last write. If the object still holds that write when
     /// it is read, it has been unchanged since then, and the wait for the term is the shorter.
-    pub fn note(&mut self, note: LeaseReport) {
+    pub fn record_report(&mut self, note: LeaseReport) {
         if self
             .note
             .as_ref()
@@ -264,7 +264,7 @@
 
     /// Notes a token seen in use; the next one taken is higher. A holder under a lower token
     /// takes its own lease anew, above the one seen.
-    pub fn raise(&mut self, now: Moment, seen: FencingToken) {
+    pub fn observe_token(&mut self, now: Moment, seen: FencingToken) {
         self.seen = self.seen.max(seen);
         let Some(held) = self.held.filter(|held| held.token < self.seen) else {
             return;
@@ -284,7 +284,7 @@
 
     /// Takes the lease from a holder that still renews it. Only for duties that stay safe
     /// under two holders; the earlier one learns of it at its next renewal.
-    pub fn force(&mut self, now: Moment) {
+    pub fn force_takeover(&mut self, now: Moment) {
         let Some(record) = &self.other else { return };
         let Some(watched) = self.watched else { return };
         if self.held.is_none() && self.pending == Pending::Nothing {
--- a/crates/coord/src/members.rs
+++ b/crates/coord/src/members.rs
@@ -73,7 +73,7 @@
     /// The sender's whole record, on full beats.
     pub record: Option<MemberRecord>,
     /// Others the sender has heard, on full beats.
-    pub told: Vec<RelayedRecord>,
+    pub relayed: Vec<RelayedRecord>,
 }
 
 /// A beat and where it goes.
@@ -140,9 +140,9 @@
     }
 
     /// Takes a beat from a peer.
-    pub fn heard(&mut self, now: Moment, beat: Heartbeat) {
-        for told in beat.told {
-            self.told(now, told);
+    pub fn receive_heartbeat(&mut self, now: Moment, beat: Heartbeat) {
+        for told in beat.relayed {
+            self.merge_relayed(now, told);
         }
         if let Some(record) = beat.record {
             self.merge(now, record);
@@ -163,7 +163,7 @@
     }
 
     /// Takes a record from the platform's list or from a peer's telling.
-    pub fn told(&mut self, now: Moment, told: RelayedRecord) {
+    pub fn merge_relayed(&mut self, now: Moment, told: RelayedRecord) {
         self.merge(now - told.age, told.record);
     }
 
@@ -253,7 +253,7 @@
             leaving: self.me.leaving,
             generation,
             record: full.then(|| self.me.clone()),
-            told: if full { self.contacts_to_tell(now) } else { Vec::new() },
+            relayed: if full { self.contacts_to_tell(now) } else { Vec::new() },
         }
     }
 
--- a/crates/coord/src/retry.rs
+++ b/crates/coord/src/retry.rs
@@ -18,7 +18,7 @@
 /// assert!(budget.try_retry() && budget.try_retry());
 /// assert!(!budget.try_retry());
 /// for _ in 0..10 {
-///     budget.attempt();
+///     budget.record_attempt();
 /// }
 /// assert!(budget.try_retry());
 /// ```
@@ -38,7 +38,7 @@
     }
 
     /// Notes a first attempt.
-    pub fn attempt(&mut self) {
+    pub fn record_attempt(&mut self) {
         self.balance = (self.balance + self.earned_per_attempt).min(self.float);
     }
 
--- a/crates/coord/tests/lease_notes.rs
+++ b/crates/coord/tests/lease_notes.rs
@@ -72,7 +72,7 @@
 #[test]
 fn what_the_holder_said_of_its_last_write_shortens_the_wait() {
     let mut mine = claim("me", 1);
-    mine.note(note(7, at(1_000)));
+    mine.record_report(note(7, at(1_000)));
     let taken = wait_for_write(&mut mine, 4_000, &record("other", 1, 7));
     assert_eq!(mine.quiet_until(), at(5_500));
     assert!((5_000..5_500).contains(&taken), "taken at {taken}");
@@ -81,7 +81,7 @@
 #[test]
 fn a_write_that_was_not_heard_of_is_watched_from_when_it_is_read() {
     let mut mine = claim("me", 1);
-    mine.note(note(7, at(1_000)));
+    mine.record_report(note(7, at(1_000)));
     wait_for_write(&mut mine, 4_000, &record("other", 1, 8));
     assert_eq!(mine.quiet_until(), at(8_500));
 }
--- a/crates/coord/tests/lease_property.rs
+++ b/crates/coord/tests/lease_property.rs
@@ -133,7 +133,7 @@
 fn claim_with(token: u64) -> (LeaseClaim, Store) {
     let mut store = Store::default();
     let mut claim = claimant(0).claim;
-    claim.raise(Moment::START, FencingToken::new(token - 1));
+    claim.observe_token(Moment::START, FencingToken::new(token - 1));
     assert_eq!(claim.poll(Moment::START), Some(LeaseAction::Read));
     claim.read_done(Moment::START, ReadOutcome::Absent);
     let Some(LeaseAction::Write { expect, record }) = claim.poll(Moment::START) else {
--- a/crates/coord/tests/members_and_config.rs
+++ b/crates/coord/tests/members_and_config.rs
@@ -42,7 +42,7 @@
             let mut table = MemberTable::new(me.clone());
             for other in &records {
                 let record = other.clone();
-                table.told(
+                table.merge_relayed(
                     Moment::START,
                     coord::members::RelayedRecord { record, age: Duration::ZERO },
                 );
@@ -64,7 +64,7 @@
         }
         for beat in beats {
             if let Some(table) = self.tables.get_mut(&beat.to) {
-                table.heard(self.now, beat.beat);
+                table.receive_heartbeat(self.now, beat.beat);
             }
         }
     }
@@ -96,7 +96,7 @@
     let told = |table: &mut MemberTable, life, leaving, at| {
         let record = MemberRecord { leaving, ..record(1, 1, life) };
         let told = coord::members::RelayedRecord { record, age: Duration::ZERO };
-        table.told(Moment::START + Duration::from_millis(at), told);
+        table.merge_relayed(Moment::START + Duration::from_millis(at), told);
     };
     told(&mut table, 5, true, 1);
     told(&mut table, 5, false, 2);
@@ -166,9 +166,9 @@
 fn a_box_that_is_behind_knows_whom_to_ask() {
     let mut follower: ConfigFollower<u64> = ConfigFollower::default();
     assert!(!follower.is_ready());
-    follower.heard(Generation::new(3), &id(1));
-    follower.heard(Generation::new(5), &id(2));
-    follower.heard(Generation::new(4), &id(3));
+    follower.observe_generation(Generation::new(3), &id(1));
+    follower.observe_generation(Generation::new(5), &id(2));
+    follower.observe_generation(Generation::new(4), &id(3));
     assert_eq!(follower.fetch_from(), Some(&id(2)));
     follower.offer(Generation::new(5), 5);
     assert_eq!(follower.fetch_from(), None);
@@ -179,7 +179,7 @@
 fn retries_stay_within_their_share_of_attempts() {
     let mut budget = RetryBudget::new(100, 10);
     let retries = (0..10_000).filter(|_| {
-        budget.attempt();
+        budget.record_attempt();
         budget.try_retry()
     });
     let retries = retries.count();
@@ -211,7 +211,7 @@
     let mut table = MemberTable::new(record(0, 1, 1));
     assert!(table.poll(Moment::START, Generation::new(1)).is_empty());
     let told = coord::members::RelayedRecord { record: record(1, 1, 1), age: Duration::ZERO };
-    table.told(Moment::START, told);
+    table.merge_relayed(Moment::START, told);
     let beats = table.poll(Moment::START + Duration::from_secs(1), Generation::new(1));
     assert!(beats[0].beat.record.is_some(), "the other cannot know this box: {beats:?}");
     let beats = table.poll(Moment::START + Duration::from_secs(2), Generation::new(1));
--- a/crates/front/src/admission.rs
+++ b/crates/front/src/admission.rs
@@ -73,7 +73,7 @@
     let id = headers::request_id(&head.headers);
     let sure = view.has_fresh_config();
     let outcome = if sure { "key not known" } else { "key not known, settings may be old" };
-    view.metrics.ended("key", outcome);
+    view.metrics.count_outcome("key", outcome);
     log::info!(
         target: "entry", request = id.unwrap_or(""), host = host_of(head), config = table.version.get(),
         key = key.map(|key| key.to_string()).as_deref().unwrap_or("none"), outcome = outcome;
--- a/crates/front/src/isolation.rs
+++ b/crates/front/src/isolation.rs
@@ -72,8 +72,8 @@
         let mut heard_at = Instant::now();
         loop {
             let doubt = shards.doubt();
-            let told =
-                !doubt.is_raised() && (view.feed.trust().is_served_by_feed() || hears_store(&view));
+            let told = !doubt.is_raised()
+                && (view.feed.freshness().is_served_by_feed() || hears_store(&view));
             let reached = told || shards.reaches_others(ASK_TIME).await;
             if reached {
                 doubt.settle();
--- a/crates/front/src/jobs_api.rs
+++ b/crates/front/src/jobs_api.rs
@@ -97,7 +97,7 @@
     }
 
     fn epoch(&self, shard: ShardIndex) -> Option<EpochId> {
-        self.view.duties().plan(shard).map(|sighting| sighting.plan.epoch.clone())
+        self.view.assignments().plan(shard).map(|sighting| sighting.plan.epoch.clone())
     }
 
     /// Asks the boxes with copies, the server first. Another one is asked only after an answer which
@@ -194,7 +194,7 @@
 
     /// Addresses of keeping boxes, one of each other failure domain, and another each time.
     fn other_keepers(&self) -> Vec<String> {
-        let duties = self.view.duties();
+        let duties = self.view.assignments();
         let own = &self.view.settings.domain;
         let mut boxes: Vec<&StorageBox> = duties.boxes().collect();
         if boxes.iter().any(|copy| copy.domain != *own) {
@@ -207,7 +207,7 @@
     }
 
     fn addresses(&self, shard: ShardIndex) -> Vec<String> {
-        let duties = self.view.duties();
+        let duties = self.view.assignments();
         let copies = duties.plan(shard).map(|sighting| sighting.plan.copies.clone());
         copies.unwrap_or_default().into_iter().map(|copy| copy.address).collect()
     }
@@ -256,7 +256,9 @@
         });
         let asked: FuturesUnordered<_> = asked.collect();
         let shard = std::pin::pin!(asked.filter_map(std::future::ready)).next().await;
-        self.view.metrics.ended("job_search", if shard.is_some() { "found" } else { "not found" });
+        self.view
+            .metrics
+            .count_outcome("job_search", if shard.is_some() { "found" } else { "not found" });
         let shard = shard?;
         log::debug!(target: "entry", job = job, shard = shard.get(); "job found");
         self.places().put(job, shard);
@@ -356,7 +358,7 @@
         Err(ShardFault::Taken) => "id taken",
         Err(_) => "unknown",
     };
-    client.view.metrics.ended("job", outcome);
+    client.view.metrics.count_outcome("job", outcome);
     log::info!(
         target: "entry", job = id, shard = shard.get(), items = items,
         customer = sender.customer.map_or("", CustomerName::as_str), outcome = outcome;
@@ -476,7 +478,7 @@
     job: &str,
     fault: ShardFault,
 ) -> Response<FrontBody> {
-    client.view.metrics.ended("job_call", what);
+    client.view.metrics.count_outcome("job_call", what);
     log::info!(target: "entry", job = job, call = what, fault:? = fault; "job call failed");
     match fault {
         ShardFault::NoJob | ShardFault::NoItem => answer::refuse(
--- a/crates/front/src/plain.rs
+++ b/crates/front/src/plain.rs
@@ -120,8 +120,8 @@
             ),
         ),
     };
-    view.metrics.ended("plain", outcome);
-    view.metrics.took(received.elapsed());
+    view.metrics.count_outcome("plain", outcome);
+    view.metrics.observe_latency(received.elapsed());
     if outcome != "answered" {
         let took_ms = whole_millis(received.elapsed());
         log::info!(
--- a/crates/front/src/role.rs
+++ b/crates/front/src/role.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use links::{LinkPool, LinkSettings};
-use node::duties::AssignmentSink;
+use node::assignments::AssignmentSink;
 use node::feed::follow_feed;
 use node::follow::KindWatcher;
 use node::sinks::{ConfigSink, EvacuationSink, TargetSink};
@@ -95,7 +95,7 @@
     view.feed.set_receive_only();
     let mut config = KindWatcher::new(view, Kind::Configuration, none, ConfigSink(v()));
     let mut targets = KindWatcher::new(view, Kind::Targets, GATHER_TARGETS, TargetSink::new(v()));
-    let mut duties = KindWatcher::new(view, Kind::Duties, GATHER_DUTIES, AssignmentSink(v()));
+    let mut duties = KindWatcher::new(view, Kind::ClusterState, GATHER_DUTIES, AssignmentSink(v()));
     // It tells which boxes to ask, and whom to hand jobs to; who is asked in vain says so.
     duties.allow_stale_first_list();
     // Requests are served by what is known, and there are hundreds of these boxes.
--- a/crates/front/src/stream.rs
+++ b/crates/front/src/stream.rs
@@ -43,7 +43,8 @@
     let work = request_work(&head.method, &head.headers, &head.uri, &body);
     let mut tried: Vec<InstanceId> = Vec::new();
     for _ in 0..TRIES {
-        let need = WorkRequirements { work, tried: &tried, again: false, is_background: false };
+        let need =
+            WorkRequirements { work, tried: &tried, allow_tried: false, is_background: false };
         let slot = match choose_target(view, route, &need) {
             TargetChoice::Target(slot) => slot,
             TargetChoice::None => break,
@@ -65,7 +66,7 @@
                 tried.push(place.instance.clone());
                 continue;
             }
-            Ok(Err(SendError::NoRoom)) => break,
+            Ok(Err(SendError::LimitReached)) => break,
             Ok(Err(SendError::Broken(_))) => {
                 note_failure(view, place, TargetFailure::Broken);
                 record_disconnect(view, place, work);
@@ -83,7 +84,7 @@
         }
         if answer.status() == StatusCode::MISDIRECTED_REQUEST {
             note_failure(view, place, TargetFailure::Gone);
-            view.suspects().gone(view.now(), &place.instance);
+            view.suspects().instance_gone(view.now(), &place.instance);
             tried.push(place.instance.clone());
             continue;
         }
@@ -92,32 +93,32 @@
             tried.push(place.instance.clone());
             continue;
         }
-        view.metrics.ended("stream", "begun");
+        view.metrics.count_outcome("stream", "begun");
         if let Some(customer) = admitted.caller.customer() {
             view.usage.count(view.now(), customer);
         }
         return pass_stream(view, slot, answer, work);
     }
-    view.metrics.ended("stream", "not run");
+    view.metrics.count_outcome("stream", "not run");
     log::info!(target: "entry", request = id.as_str(), route:% = route.name, outcome = "not run"; "request ended");
     answer::not_run("no target free", Some(&id))
 }
 
 fn condemned(view: &NodeView, route: &Route, id: &str, work: WorkDigest) -> Response<FrontBody> {
-    view.metrics.ended("stream", "condemned");
-    view.metrics.ended("work", "condemned");
+    view.metrics.count_outcome("stream", "condemned");
+    view.metrics.count_outcome("work", "condemned");
     log::info!(
         target: "entry", request = id, route:% = route.name, work:% = work,
-        ends = view.suspects().ends(work), outcome = "condemned";
+        ends = view.suspects().crash_count(work), outcome = "condemned";
         "request ended"
     );
     answer::condemned(id)
 }
 
 fn unknown(view: &NodeView, id: &str, work: WorkDigest) -> Response<FrontBody> {
-    view.suspects().given_up(work);
+    view.suspects().caller_unanswered(work);
     view.suspects_changed();
-    view.metrics.ended("stream", "unknown");
+    view.metrics.count_outcome("stream", "unknown");
     log::info!(target: "entry", request = id, work:% = work, outcome = "unknown"; "request ended");
     answer::refuse(
         StatusCode::BAD_GATEWAY,
@@ -128,7 +129,7 @@
 }
 
 fn note_failure(view: &NodeView, slot: &ChosenTarget, failure: TargetFailure) {
-    view.board().failed(view.now(), &slot.instance, failure);
+    view.target_table().failed(view.now(), &slot.instance, failure);
 }
 
 fn pass_stream(
@@ -145,12 +146,12 @@
     let view = Arc::clone(view);
     tokio::spawn(async move {
         match copy_pieces(answer, pieces).await {
-            StreamEnd::Whole => view.suspects().succeeded(work),
+            StreamEnd::Complete => view.suspects().succeeded(work),
             StreamEnd::CallerLeft => {}
             StreamEnd::Broken => {
                 note_failure(&view, slot.slot(), TargetFailure::Broken);
                 record_disconnect(&view, slot.slot(), work);
-                view.suspects().given_up(work);
+                view.suspects().caller_unanswered(work);
                 view.suspects_changed();
             }
         }
@@ -160,7 +161,7 @@
 
 /// How the body of a stream ended.
 enum StreamEnd {
-    Whole,
+    Complete,
     CallerLeft,
     Broken,
 }
@@ -179,7 +180,7 @@
             }
             Ok(None) => {
                 answer.reuse();
-                return StreamEnd::Whole;
+                return StreamEnd::Complete;
             }
             Err(_broken) => {
                 pieces.abort(StreamBroken);
--- a/crates/gannetwayd/src/conductor.rs
+++ b/crates/gannetwayd/src/conductor.rs
@@ -185,7 +185,7 @@
                 wanted: progress.wanted,
                 replicas: progress.replicas,
                 done: progress.done,
-                under_way: progress.under_way,
+                under_way: progress.in_flight,
                 in_doubt: progress.in_doubt,
             }
         });
@@ -295,7 +295,7 @@
         let now = self.ctx.clock.now();
         log::info!(target: "conductor", pool:% = msg.pool, at:% = msg.target, done:? = msg.outcome; "order ended");
         if let Some(conductor) = self.conductors.get_mut(&msg.pool) {
-            conductor.ordered(now, &msg.target, msg.outcome);
+            conductor.order_completed(now, &msg.target, msg.outcome);
         }
         self.drive(&ctx.actor_ref());
     }
--- a/crates/gannetwayd/src/documents.rs
+++ b/crates/gannetwayd/src/documents.rs
@@ -174,8 +174,8 @@
     type Reply = ();
 
     async fn handle(&mut self, msg: HeardGenerations, ctx: &mut Context<Self, ()>) {
-        self.config.heard(msg.config, &msg.peer);
-        self.targets.heard(msg.targets, &msg.peer);
+        self.config.observe_generation(msg.config, &msg.peer);
+        self.targets.observe_generation(msg.targets, &msg.peer);
         self.fetch_if_behind(&ctx.actor_ref());
     }
 }
--- a/crates/gannetwayd/src/home.rs
+++ b/crates/gannetwayd/src/home.rs
@@ -246,11 +246,11 @@
     type Reply = PlaceAnswer;
 
     async fn handle(&mut self, msg: AskPlace, _: &mut Context<Self, PlaceAnswer>) -> PlaceAnswer {
-        let admission = self.queue.ask(self.ctx.clock.now(), msg.0);
+        let admission = self.queue.request_admission(self.ctx.clock.now(), msg.0);
         match admission {
-            Admission::Go(ticket) => PlaceAnswer::Go(ticket),
+            Admission::Admitted(ticket) => PlaceAnswer::Go(ticket),
             Admission::Refused(refusal) => PlaceAnswer::Refused(refusal),
-            Admission::Wait(ticket) => {
+            Admission::Queued(ticket) => {
                 let (waiter, word) = oneshot::channel();
                 self.waiters.insert(ticket, waiter);
                 self.settle();
@@ -292,7 +292,7 @@
     type Reply = ();
 
     async fn handle(&mut self, msg: BeginOrder, _: &mut Context<Self, ()>) {
-        self.queue.ordered(msg.version, msg.deadline);
+        self.queue.order_sent(msg.version, msg.deadline);
         self.settle();
     }
 }
@@ -301,7 +301,7 @@
     type Reply = ();
 
     async fn handle(&mut self, msg: EndOrder, _: &mut Context<Self, ()>) {
-        self.queue.order_ended(self.ctx.clock.now(), msg.version, msg.outcome);
+        self.queue.order_completed(self.ctx.clock.now(), msg.version, msg.outcome);
         self.settle();
     }
 }
--- a/crates/gannetwayd/src/http/plain.rs
+++ b/crates/gannetwayd/src/http/plain.rs
@@ -157,7 +157,7 @@
 impl PlainRun<'_> {
     /// Tries targets until one answers, the work may have run, or nothing more is allowed.
     async fn to_its_end(&self, service: &ServiceName) -> Result<PlainPart, Failure> {
-        lock(&self.state.plain.budget).attempt();
+        lock(&self.state.plain.budget).record_attempt();
         let mut retry = 0;
         loop {
             let target = self.choose(service)?;
--- a/crates/gannetwayd/src/keeper/actor.rs
+++ b/crates/gannetwayd/src/keeper/actor.rs
@@ -195,7 +195,7 @@
     }
 
     fn note_acting(&mut self) {
-        let acting = self.keeper.acting();
+        let acting = self.keeper.acting_token();
         if acting == self.acting {
             return;
         }
@@ -336,7 +336,7 @@
 
     async fn handle(&mut self, msg: HandOverSteps, ctx: &mut Context<Self, GivenUp>) -> GivenUp {
         self.keeper.prepare_hand_over();
-        let Some(token) = self.keeper.acting() else { return GivenUp::Nothing };
+        let Some(token) = self.keeper.acting_token() else { return GivenUp::Nothing };
         if self.keeper.in_flight() > 0 && !msg.force {
             return GivenUp::Busy;
         }
@@ -353,7 +353,7 @@
     type Reply = KeeperView;
 
     async fn handle(&mut self, _: QueryKeeper, _: &mut Context<Self, KeeperView>) -> KeeperView {
-        KeeperView { acting: self.keeper.acting(), steps: self.keeper.open_steps().collect() }
+        KeeperView { acting: self.keeper.acting_token(), steps: self.keeper.open_steps().collect() }
     }
 }
 
@@ -363,7 +363,7 @@
     async fn handle(&mut self, msg: AttemptDone, ctx: &mut Context<Self, ()>) {
         let now = self.ctx.clock.now();
         let label = match &msg.end {
-            AttemptOutcome::Made(_) => AttemptLabel::Made,
+            AttemptOutcome::Completed(_) => AttemptLabel::Made,
             AttemptOutcome::NotRun { .. } => AttemptLabel::NotRun,
             AttemptOutcome::Unusable => AttemptLabel::Unusable,
             AttemptOutcome::TooOld => AttemptLabel::TooOld,
--- a/crates/gannetwayd/src/keeper/attempt.rs
+++ b/crates/gannetwayd/src/keeper/attempt.rs
@@ -115,7 +115,7 @@
             return AttemptOutcome::Unusable;
         }
         self.ctx.metrics.tokens.inc_by(spans.iter().map(|span| u64::from(span.tokens.get())).sum());
-        AttemptOutcome::Made(Sample {
+        AttemptOutcome::Completed(Sample {
             slot: self.placement.assignment.slot,
             spans,
             text,
--- a/crates/gannetwayd/src/members.rs
+++ b/crates/gannetwayd/src/members.rs
@@ -109,7 +109,7 @@
             leaving: false,
             generation,
             record: Some(me.clone()),
-            told: Vec::new(),
+            relayed: Vec::new(),
         };
         let peers = self.ctx.settings.peers.iter();
         peers.map(|peer| OutgoingHeartbeat { to: peer.to_string(), beat: beat.clone() }).collect()
@@ -120,7 +120,7 @@
         self.ctx.metrics.beat_bytes.inc_by(bytes as u64);
         let ctx = Arc::clone(&self.ctx);
         self.ctx.traffic.spawn(async move {
-            if let Err(error) = ctx.links.beat(&to, beat).await {
+            if let Err(error) = ctx.links.send_heartbeat(&to, beat).await {
                 log::debug!(target: "members", to:% = to, error:% = error; "beat not sent");
             }
         });
@@ -134,7 +134,7 @@
         let from = msg.0.from.clone();
         let now = self.ctx.clock.now();
         let before = self.table.liveness(now, &from);
-        self.table.heard(now, msg.0);
+        self.table.receive_heartbeat(now, msg.0);
         let after = self.table.liveness(now, &from);
         if before != after {
             log::info!(target: "members", peer:% = from, liveness:? = after; "peer changed");
@@ -151,7 +151,7 @@
         for record in msg.0 {
             // The list only seeds: a box already known is judged by its own beats.
             if self.table.liveness(now, &record.id).is_none() {
-                self.table.told(now, RelayedRecord { record, age: Duration::ZERO });
+                self.table.merge_relayed(now, RelayedRecord { record, age: Duration::ZERO });
             }
         }
         self.publish();
--- a/crates/gannetwayd/src/peer.rs
+++ b/crates/gannetwayd/src/peer.rs
@@ -85,7 +85,7 @@
         }
     }
 
-    async fn beat(&self, beat: BoxHeartbeat) {
+    async fn handle_heartbeat(&self, beat: BoxHeartbeat) {
         let generations = parse_id(&beat.box_id).map(|peer| HeardGenerations {
             peer,
             config: ids::Generation::new(beat.config_generation),
--- a/crates/ids/src/window.rs
+++ b/crates/ids/src/window.rs
@@ -28,7 +28,7 @@
     }
 
     /// Whether a sample may be made of a version.
-    pub fn holds(&self, version: ModelVersion) -> bool {
+    pub fn contains(&self, version: ModelVersion) -> bool {
         !self.is_too_old(version) && !self.is_ahead(version)
     }
 }
--- a/crates/joblog/src/duty.rs
+++ b/crates/joblog/src/duty.rs
@@ -34,11 +34,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TakeoverPreference {
     /// Neither.
-    Stays,
+    Neutral,
     /// It is to be emptied or to stop.
-    Leaves,
+    Avoid,
     /// The shard's server has asked it to go on in its place.
-    Asked,
+    Requested,
 }
 
 /// What a box knows when it decides.
@@ -62,14 +62,14 @@
     /// How long this box has known that there is no plan.
     pub no_plan_for: Duration,
     /// Whether it should rather serve or not, all else being equal.
-    pub intent: TakeoverPreference,
+    pub preference: TakeoverPreference,
 }
 
 /// What a box should do about a shard that it does not serve.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TakeoverDecision {
     /// Begin to serve it: close the own copy, form a new epoch.
-    Take,
+    TakeOver,
     /// Nothing now.
     Wait,
 }
@@ -79,22 +79,23 @@
     let take = match view.plan {
         None => {
             let patience = TAKEOVER_TIMEOUT * u32::try_from(view.first_rank).unwrap_or(u32::MAX);
-            view.intent != TakeoverPreference::Leaves && view.no_plan_for >= patience
+            view.preference != TakeoverPreference::Avoid && view.no_plan_for >= patience
         }
         Some(plan) => match plan.rank(view.me) {
             Some(rank) if view.has_copy => {
-                let leaves = view.intent == TakeoverPreference::Leaves;
+                let leaves = view.preference == TakeoverPreference::Avoid;
                 let extra = if leaves { LEAVING_PATIENCE } else { Duration::ZERO };
                 let restart = if view.server_restarts { RESTART_PATIENCE } else { Duration::ZERO };
                 let rank = rank.saturating_sub(view.lost_before);
                 let extra = if rank > 0 { extra + restart } else { extra };
                 let patience = TAKEOVER_TIMEOUT * u32::try_from(rank).unwrap_or(u32::MAX) + extra;
-                view.intent == TakeoverPreference::Asked || view.server_unresponsive_for >= patience
+                view.preference == TakeoverPreference::Requested
+                    || view.server_unresponsive_for >= patience
             }
             _ => false,
         },
     };
-    if take { TakeoverDecision::Take } else { TakeoverDecision::Wait }
+    if take { TakeoverDecision::TakeOver } else { TakeoverDecision::Wait }
 }
 
 /// The boxes that could begin a shard which has no plan yet, the best first, ranked alike on every box.
--- a/crates/joblog/src/former.rs
+++ b/crates/joblog/src/former.rs
@@ -10,7 +10,7 @@
 
 /// A plan as read, with the revision that a conditional write must name.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ReadPlan {
+pub struct VersionedPlan {
     /// Its revision.
     pub revision: u64,
     /// The plan.
@@ -105,7 +105,7 @@
     number: u64,
     /// The epoch whose acknowledged records the box holds in memory.
     book_epoch: Option<EpochId>,
-    base: Option<ReadPlan>,
+    base: Option<VersionedPlan>,
     partners: Vec<StorageBox>,
     state: FormState,
 }
@@ -125,7 +125,7 @@
                 None => TakeoverStep::BeginEmpty,
                 Some(base) => TakeoverStep::CloseAndRead(base.plan.epoch.clone()),
             },
-            // Asked for through `partners`, which ends this state.
+            // Asked for through `set_partners`, which ends this state.
             FormState::Partners => TakeoverStep::Fail(TakeoverError::NoPartners),
             FormState::Copying => {
                 TakeoverStep::Copy { epoch: self.epoch(), partners: self.partners.clone() }
@@ -140,7 +140,7 @@
     }
 
     /// The plan that was read, once it was.
-    pub const fn base(&self) -> Option<&ReadPlan> {
+    pub const fn base(&self) -> Option<&VersionedPlan> {
         self.base.as_ref()
     }
 
@@ -165,7 +165,7 @@
     }
 
     /// Takes the plan as read; `Err` when the store did not answer.
-    pub fn plan_read(&mut self, read: Result<Option<ReadPlan>, ()>) {
+    pub fn plan_read(&mut self, read: Result<Option<VersionedPlan>, ()>) {
         match self.state {
             FormState::Read => self.first_read(read),
             FormState::Checking { tries } => self.checked(read, tries),
@@ -173,7 +173,7 @@
         }
     }
 
-    fn first_read(&mut self, read: Result<Option<ReadPlan>, ()>) {
+    fn first_read(&mut self, read: Result<Option<VersionedPlan>, ()>) {
         let Ok(base) = read else { return self.fail(TakeoverError::NoStore) };
         let me: &BoxId = &self.me.box_id;
         if base.as_ref().is_some_and(|base| base.plan.rank(me).is_none()) {
@@ -185,7 +185,7 @@
         self.state = if held { FormState::Partners } else { FormState::Base };
     }
 
-    fn checked(&mut self, read: Result<Option<ReadPlan>, ()>, tries: u32) {
+    fn checked(&mut self, read: Result<Option<VersionedPlan>, ()>, tries: u32) {
         match read {
             Ok(Some(current)) if current.plan == self.plan() => {
                 let (revision, plan) = (current.revision, current.plan);
@@ -220,7 +220,7 @@
     }
 
     /// Takes the boxes for the other copies; `None` when there are too few.
-    pub fn partners(&mut self, partners: Option<Vec<StorageBox>>) {
+    pub fn set_partners(&mut self, partners: Option<Vec<StorageBox>>) {
         match partners {
             Some(partners) => {
                 self.partners = partners;
@@ -231,7 +231,7 @@
     }
 
     /// Takes whether all new copies are on disk.
-    pub fn copied(&mut self, all: bool) {
+    pub fn copies_written(&mut self, all: bool) {
         if all {
             self.state = FormState::Writing { tries: 0 };
         } else {
@@ -240,7 +240,7 @@
     }
 
     /// Takes how the write of the plan ended.
-    pub fn written(&mut self, end: PlanWriteOutcome) {
+    pub fn plan_written(&mut self, end: PlanWriteOutcome) {
         let FormState::Writing { tries } = self.state else { return };
         match end {
             PlanWriteOutcome::Done(revision) => {
--- a/crates/joblog/src/lib.rs
+++ b/crates/joblog/src/lib.rs
@@ -30,7 +30,7 @@
     TakeoverView, choose_healthy_partners, choose_partners, decide_takeover, rank_initial_servers,
     shard_of, shard_of_job,
 };
-pub use former::{EpochTakeover, PlanWriteOutcome, ReadPlan, TakeoverError, TakeoverStep};
+pub use former::{EpochTakeover, PlanWriteOutcome, TakeoverError, TakeoverStep, VersionedPlan};
 pub use layout::ShardLayout;
 pub use plan::{EpochError, EpochId, ShardPlan, StorageBox};
 pub use record::{decode_records, encode_record};
--- a/crates/joblog/tests/duty.rs
+++ b/crates/joblog/tests/duty.rs
@@ -33,9 +33,9 @@
         server_restarts: restarts,
         first_rank: 0,
         no_plan_for: Duration::ZERO,
-        intent: TakeoverPreference::Stays,
+        preference: TakeoverPreference::Neutral,
     };
-    decide_takeover(&view) == TakeoverDecision::Take
+    decide_takeover(&view) == TakeoverDecision::TakeOver
 }
 
 #[test]
--- a/crates/joblog/tests/epochs.rs
+++ b/crates/joblog/tests/epochs.rs
@@ -8,7 +8,7 @@
 
 use ids::{BoxId, ShardIndex};
 use joblog::{
-    EpochId, EpochTakeover, PlanWriteOutcome, ReadPlan, ShardPlan, StorageBox, TakeoverStep,
+    EpochId, EpochTakeover, PlanWriteOutcome, ShardPlan, StorageBox, TakeoverStep, VersionedPlan,
     choose_partners,
 };
 use rand::{Rng, SeedableRng};
@@ -21,7 +21,7 @@
 
 #[derive(Default)]
 struct Store {
-    plan: Option<ReadPlan>,
+    plan: Option<VersionedPlan>,
     revision: u64,
     /// Writes whose answer was lost and that are done later, if their condition still holds.
     late: Vec<(Option<u64>, ShardPlan)>,
@@ -33,7 +33,7 @@
             return PlanWriteOutcome::Conflict;
         }
         self.revision += 1;
-        self.plan = Some(ReadPlan { revision: self.revision, plan: plan.clone() });
+        self.plan = Some(VersionedPlan { revision: self.revision, plan: plan.clone() });
         PlanWriteOutcome::Done(self.revision)
     }
 }
@@ -118,7 +118,7 @@
             let alive: Vec<StorageBox> =
                 (0..BOXES).filter(|other| *other != at).map(holder).collect();
             let domain = holder(at).domain;
-            former.partners(choose_partners(ShardIndex::new(0), &domain, &alive, COPIES - 1));
+            former.set_partners(choose_partners(ShardIndex::new(0), &domain, &alive, COPIES - 1));
         }
         match former.step() {
             TakeoverStep::ReadPlan | TakeoverStep::CheckPlan => {
@@ -141,11 +141,11 @@
             }
             TakeoverStep::Copy { epoch, partners } => {
                 let all = self.copy(at, &epoch, &partners);
-                former.copied(all);
+                former.copies_written(all);
             }
             TakeoverStep::WritePlan { base, plan } => {
                 let end = self.write_plan(base, &plan);
-                former.written(end);
+                former.plan_written(end);
             }
             TakeoverStep::Serve { plan, .. } => return self.serve(at, plan),
             TakeoverStep::Fail(_) => {
--- a/crates/jobs/src/book.rs
+++ b/crates/jobs/src/book.rs
@@ -134,13 +134,13 @@
         if let Some(result) = listed {
             state.text = unpack_text(&result.packed_text).ok()?;
             state.versions.clone_from(&result.versions);
-            state.whole = true;
+            state.complete = true;
             state.score = Some(result.score.clone());
         } else {
             state.text.clone_from(&held.text);
             state.events = held.events;
             state.versions.clone_from(&held.versions);
-            state.whole = held.whole;
+            state.complete = held.complete;
         }
         let wanted = job.items.iter().find(|other| other.id == item)?;
         let same_reward = request.reward.as_ref().map(|reward| &reward.id)
@@ -178,14 +178,14 @@
     fn apply_progress(&mut self, progress: &ItemProgress) {
         let Some(state) = self.state_mut(&progress.job) else { return };
         let Some(item) = state.items.get_mut(progress.index as usize) else { return };
-        let known = item.whole || item.phase == ItemPhase::Listed;
+        let known = item.complete || item.phase == ItemPhase::Listed;
         if known || item.events != progress.from_event {
             return;
         }
         // A text that cannot be unpacked is made again.
         let Ok(text) = unpack_text(&progress.packed_text) else { return };
         item.add_text(&text, progress.events, &progress.versions);
-        item.whole |= progress.complete;
+        item.complete |= progress.complete;
     }
 
     fn apply_ended(&mut self, job: &str) {
@@ -292,8 +292,8 @@
             }
         }
         match run.outcome {
-            RunOutcome::Whole => {
-                entry.whole = true;
+            RunOutcome::Complete => {
+                entry.complete = true;
                 if spec.events == 0 {
                     let hint = spec.request().map_or(0, |item| item.length_hint);
                     self.pace.took(hint, now.since(entry.started_at));
@@ -421,14 +421,14 @@
     }
 
     /// Notes that results of a job before position `until` were told.
-    pub fn told(&mut self, now: Moment, id: &JobId, until: u32) {
+    pub fn record_read(&mut self, now: Moment, id: &JobId, until: u32) {
         if let Some(state) = self.jobs.get_mut(id) {
             state.trace.read(now, until);
         }
     }
 
     /// What became of a job that ends now; `None` when it is not held or has ended before.
-    pub fn account(&mut self, now: Moment, id: &JobId) -> Option<StepTimings> {
+    pub fn finish_timings(&mut self, now: Moment, id: &JobId) -> Option<StepTimings> {
         let state = self.jobs.get_mut(id).filter(|state| !state.ended)?;
         Some(state.trace.end(now, state.taken_at, &state.job))
     }
--- a/crates/jobs/src/item.rs
+++ b/crates/jobs/src/item.rs
@@ -30,7 +30,7 @@
     /// The newest version that made a part of the held text.
     pub newest: Option<u64>,
     /// Whether the text is whole, and only the reward call is missing.
-    pub whole: bool,
+    pub complete: bool,
     /// Number of this run of the item; the end of an earlier one says nothing.
     pub run: u32,
 }
@@ -38,7 +38,7 @@
 impl RunSpec {
     /// The record for the events that a run which was cut or moved has not given to the log: the
     /// next run begins after them, and its own records must follow what is there.
-    pub fn rest(&self, end: &RunResult) -> Option<LogRecord> {
+    pub fn unlogged_progress(&self, end: &RunResult) -> Option<LogRecord> {
         let goes_on = matches!(end.outcome, RunOutcome::Cut | RunOutcome::Moved);
         let more = end.events.len() > end.logged && !self.job.single_version;
         (goes_on && more).then(|| self.progress(&end.events, end.logged))
@@ -71,7 +71,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunOutcome {
     /// The last event came, and the answer ended as it should.
-    Whole,
+    Complete,
     /// The answer broke off or fell silent; another target goes on after the last whole event.
     Cut,
     /// It was broken off here, to go on at a better target at once.
@@ -169,7 +169,7 @@
     pub text: Vec<u8>,
     pub events: u32,
     pub versions: Vec<u64>,
-    pub whole: bool,
+    pub complete: bool,
     pub score: Option<String>,
 }
 
@@ -186,7 +186,7 @@
             text: Vec::new(),
             events: 0,
             versions: Vec::new(),
-            whole: false,
+            complete: false,
             score: None,
         }
     }
@@ -218,7 +218,7 @@
         self.text = Vec::new();
         self.events = 0;
         self.versions = Vec::new();
-        self.whole = false;
+        self.complete = false;
         self.score = None;
     }
 
--- a/crates/jobs/src/reads.rs
+++ b/crates/jobs/src/reads.rs
@@ -54,7 +54,7 @@
     }
 
     /// Whether a job is held.
-    pub fn knows(&self, id: &JobId) -> bool {
+    pub fn contains(&self, id: &JobId) -> bool {
         self.jobs.contains_key(id)
     }
 
@@ -68,7 +68,7 @@
 
     /// Whether a job is held of which `customer` may know.
     pub fn may_ask(&self, id: &JobId, customer: &str) -> bool {
-        self.knows(id) && !self.belongs_to_other_customer(id, customer)
+        self.contains(id) && !self.belongs_to_other_customer(id, customer)
     }
 
     /// Bytes of jobs and results.
--- a/crates/jobs/src/state.rs
+++ b/crates/jobs/src/state.rs
@@ -110,7 +110,7 @@
 ) -> impl Iterator<Item = LogRecord> + use<'a> {
     let held = items.iter().enumerate();
     let held = held.filter(|(_, item)| item.phase != ItemPhase::Listed);
-    let held = held.filter(|(_, item)| item.events > 0 || item.whole);
+    let held = held.filter(|(_, item)| item.events > 0 || item.complete);
     held.map(|(index, item)| {
         record(Body::Progress(ItemProgress {
             job: job.to_owned(),
@@ -120,7 +120,7 @@
             events: item.events.max(1),
             packed_text: pack_text(&item.text),
             versions: item.versions.clone(),
-            complete: item.whole,
+            complete: item.complete,
         }))
     })
 }
--- a/crates/jobs/src/trace.rs
+++ b/crates/jobs/src/trace.rs
@@ -82,7 +82,7 @@
     /// The item that came last of those wanted.
     pub last: Option<(String, ItemTimings)>,
     /// How long some item could not start, by the reason.
-    pub holds: Vec<(BlockReason, Duration)>,
+    pub blocked: Vec<(BlockReason, Duration)>,
 }
 
 /// The account of a job while it goes on.
@@ -208,7 +208,7 @@
             ended: now.since(taken_at),
             carried: self.carried_items,
             last,
-            holds: holds.filter_map(|hold| Some((hold, *self.holds.get(&hold)?))).collect(),
+            blocked: holds.filter_map(|hold| Some((hold, *self.holds.get(&hold)?))).collect(),
         }
     }
 
--- a/crates/jobs/src/turns.rs
+++ b/crates/jobs/src/turns.rs
@@ -60,7 +60,7 @@
                 job: Arc::clone(&state.job),
                 events: item.events,
                 newest: item.versions.last().copied(),
-                whole: item.whole,
+                complete: item.complete,
                 run: item.run + 1,
             };
             let target = match start(spec) {
@@ -94,7 +94,7 @@
         let mut waiting = state.waiting.iter().copied().enumerate().skip(from);
         let (at, index) = waiting.find(|(_, index)| {
             let item = &state.items[*index as usize];
-            now >= item.not_before && (item.whole || !held)
+            now >= item.not_before && (item.complete || !held)
         })?;
         let hint = state.job.items.get(index as usize).map_or(0, |item| item.length_hint);
         let latest_start = self.pace.latest_start(state.taken_at, hint);
--- a/crates/jobs/tests/book.rs
+++ b/crates/jobs/tests/book.rs
@@ -20,7 +20,7 @@
 
 /// Runs an item to its end and gives the record that lists it.
 fn finish(book: &mut JobTable, spec: &jobs::RunSpec, events_of: Vec<jobs::RunEvent>) -> LogRecord {
-    assert!(book.run_ended(at(10), spec, &run(RunOutcome::Whole, events_of)));
+    assert!(book.run_ended(at(10), spec, &run(RunOutcome::Complete, events_of)));
     book.scored(at(11), &spec.item, scored()).expect("it is listed")
 }
 
@@ -96,7 +96,7 @@
     log.push(spec.progress(&made[..16], 0));
     let mut end = run(RunOutcome::Moved, made);
     end.logged = 16;
-    log.extend(spec.rest(&end));
+    log.extend(spec.unlogged_progress(&end));
     first.run_ended(at(2), &spec, &end);
     // The next run goes on after all of them, and so do its records.
     let again = start_all(&mut first, at(3)).into_iter().find(|other| other.item == spec.item);
@@ -119,7 +119,7 @@
     book.run_ended(at(2), &first, &run(RunOutcome::Cut, events(1, 1, 3)));
     let second = start_all(&mut book, at(500)).remove(0);
     // The first run's end comes once more, late.
-    assert!(!book.run_ended(at(501), &first, &run(RunOutcome::Whole, events(1, 9, 3))));
+    assert!(!book.run_ended(at(501), &first, &run(RunOutcome::Complete, events(1, 9, 3))));
     let record = finish(&mut book, &second, events(2, 1, 3));
     book.apply(at(12), record);
     assert_eq!(text_of(&book, "j"), ["e1\ne2"]);
@@ -130,7 +130,7 @@
     let mut book = book();
     book.apply(at(0), accepted(job("j", 1)));
     let spec = start_all(&mut book, at(1)).remove(0);
-    assert!(!book.run_ended(at(2), &spec, &run(RunOutcome::Whole, events(1, 2, 2))));
+    assert!(!book.run_ended(at(2), &spec, &run(RunOutcome::Complete, events(1, 2, 2))));
     let again = start_all(&mut book, at(500)).remove(0);
     assert_eq!(again.events, 0);
 }
@@ -144,7 +144,7 @@
     let spec = start_all(&mut book, at(1)).remove(0);
     book.run_ended(at(2), &spec, &run(RunOutcome::Cut, events(1, 2, 3)));
     let again = start_all(&mut book, at(500)).remove(0);
-    assert!(!book.run_ended(at(501), &again, &run(RunOutcome::Whole, events(3, 2, 4))));
+    assert!(!book.run_ended(at(501), &again, &run(RunOutcome::Complete, events(3, 2, 4))));
     assert_eq!(start_all(&mut book, at(900)).remove(0).events, 0);
 }
 
@@ -158,7 +158,7 @@
     let end = book.end(&id("j")).expect("a record");
     assert!(book.is_moot(&spec.item));
     assert!(start_all(&mut book, at(900)).is_empty());
-    book.run_ended(at(901), &spec, &run(RunOutcome::Whole, events(1, 1, 3)));
+    book.run_ended(at(901), &spec, &run(RunOutcome::Complete, events(1, 1, 3)));
     assert_eq!(book.scored(at(902), &spec.item, scored()), None);
     assert_eq!(book.end(&id("j")), None);
     book.apply(at(903), end);
@@ -183,13 +183,13 @@
     let mut book = book();
     book.apply(at(0), accepted(job("j", 1)));
     let spec = start_all(&mut book, at(1)).remove(0);
-    book.run_ended(at(2), &spec, &run(RunOutcome::Whole, events(1, 1, 3)));
+    book.run_ended(at(2), &spec, &run(RunOutcome::Complete, events(1, 1, 3)));
     let failed = RewardOutcome::Failed { attempts: 4 };
     for attempt in 1..=4_u64 {
         assert!(book.give_up(at(attempt * 500)).is_empty());
         assert_eq!(book.scored(at(attempt * 500), &spec.item, failed.clone()), None);
         let again = start_all(&mut book, at(attempt * 500 + 400));
-        assert!(again.iter().any(|other| other.item == spec.item && other.whole));
+        assert!(again.iter().any(|other| other.item == spec.item && other.complete));
     }
     book.scored(at(2_500), &spec.item, failed);
     let lost = book.give_up(at(2_600));
@@ -214,7 +214,7 @@
     book.suspend_appends();
     book.resume_appends();
     let again = start_all(&mut book, at(2)).remove(0);
-    assert!(again.whole, "its text is held, only the listing was lost");
+    assert!(again.complete, "its text is held, only the listing was lost");
     let record = book.scored(at(3), &again.item, scored()).expect("listed again");
     assert_eq!(record, lost);
 }
@@ -226,14 +226,14 @@
     let specs = start_all(&mut book, at(1));
     book.suspend_appends();
     // A record made now would go to no log, and its position would stay empty for ever.
-    assert!(book.run_ended(at(10), &specs[0], &run(RunOutcome::Whole, events(1, 2, 3))));
+    assert!(book.run_ended(at(10), &specs[0], &run(RunOutcome::Complete, events(1, 2, 3))));
     assert_eq!(book.scored(at(11), &specs[0].item, scored()), None);
     book.resume_appends();
     let record = finish(&mut book, &specs[1], events(1, 2, 3));
     book.apply(at(12), record);
     assert_eq!(text_of(&book, "j").len(), 1);
     let again = start_all(&mut book, at(13)).remove(0);
-    assert!(again.whole && again.item == specs[0].item);
+    assert!(again.complete && again.item == specs[0].item);
     assert_eq!(book.cached_score(&again.item).as_deref(), Some("signature"));
     let record = book.scored(at(14), &again.item, scored()).expect("listed again");
     book.apply(at(15), record);
@@ -265,7 +265,7 @@
     book.apply(at(15), accepted(second));
     let carried = start_all(&mut book, at(16));
     let events_of = |item: u32| {
-        carried.iter().find(|spec| spec.item.index == item).map(|spec| (spec.events, spec.whole))
+        carried.iter().find(|spec| spec.item.index == item).map(|spec| (spec.events, spec.complete))
     };
     assert_eq!(events_of(0), Some((0, false)), "made by version 3, too old now");
     assert_eq!(events_of(1), Some((1, false)), "made by version 4");
@@ -296,7 +296,7 @@
     assert_eq!(dropped.len(), 1);
     assert!(book.expire(at(121_001)).is_empty(), "one record is enough");
     book.apply(at(121_002), dropped[0].clone());
-    assert!(!book.knows(&id("j")));
+    assert!(!book.contains(&id("j")));
     assert_eq!(book.counts().bytes, 0);
 }
 
@@ -342,7 +342,7 @@
     short.items[0].length_hint = 1;
     book.apply(at(0), accepted(short));
     let spec = start_all(book, at(0)).remove(0);
-    assert!(book.run_ended(at(millis), &spec, &run(RunOutcome::Whole, events(1, 1, 3))));
+    assert!(book.run_ended(at(millis), &spec, &run(RunOutcome::Complete, events(1, 1, 3))));
 }
 
 /// The jobs and hints of all that may start, in order.
@@ -404,7 +404,7 @@
     let mut book = book();
     book.apply(at(0), accepted(job("j", 2)));
     let specs = start_all(&mut book, at(1));
-    book.run_ended(at(2), &specs[1], &run(RunOutcome::Whole, events(1, 1, 3)));
+    book.run_ended(at(2), &specs[1], &run(RunOutcome::Complete, events(1, 1, 3)));
     book.scored(at(3), &specs[1].item, RewardOutcome::Missed);
     // Cut after the call, so it comes before the whole one in the order.
     book.run_ended(at(4), &specs[0], &run(RunOutcome::Cut, Vec::new()));
@@ -412,7 +412,7 @@
     let mut asked = Vec::new();
     book.start_ready(at(500), |spec| {
         asked.push(spec.item.index);
-        if spec.whole { Ok(None) } else { Err(BlockReason::Full) }
+        if spec.complete { Ok(None) } else { Err(BlockReason::Full) }
     });
     assert_eq!(asked, [2, 1], "one try for an engine, then the reward call");
 }
@@ -553,7 +553,7 @@
     book.apply(at(50), accepted(job("again", 1)));
     let specs = start_all(&mut book, at(51));
     let again = specs.iter().find(|spec| spec.item.index == 0).expect("it runs");
-    assert_eq!((again.events, again.whole), (0, false), "nothing is known of its text");
+    assert_eq!((again.events, again.complete), (0, false), "nothing is known of its text");
     let record = finish(&mut book, again, events(1, 3, 3));
     book.apply(at(60), record);
     assert_eq!(text_of(&book, "again"), ["e1\ne2\ne3"]);
@@ -566,7 +566,7 @@
     let mut book = book();
     book.apply(at(0), accepted(job("first", 1)));
     let spec = start_all(&mut book, at(1)).remove(0);
-    assert!(book.run_ended(at(2), &spec, &run(RunOutcome::Whole, events(1, 3, 3))));
+    assert!(book.run_ended(at(2), &spec, &run(RunOutcome::Complete, events(1, 3, 3))));
     for failure in 0..3 {
         let now = at(100 * (failure + 1));
         book.scored(now, &spec.item, RewardOutcome::Failed { attempts: 3 });
@@ -582,7 +582,7 @@
     book.apply(at(500), accepted(job("next", 1)));
     let specs = start_all(&mut book, at(501));
     let again = specs.iter().find(|again| again.item.index == spec.item.index).expect("it runs");
-    assert_eq!((again.events, again.whole), (0, false), "its text went with its listing");
+    assert_eq!((again.events, again.complete), (0, false), "its text went with its listing");
     let record = finish(&mut book, again, events(1, 3, 3));
     book.apply(at(600), record);
     assert_eq!(text_of(&book, "next"), ["e1\ne2\ne3"]);
--- a/crates/jobs/tests/replay.rs
+++ b/crates/jobs/tests/replay.rs
@@ -48,9 +48,9 @@
                 let outcome = match rng.random_range(0..4) {
                     0 => RunOutcome::Cut,
                     1 => RunOutcome::NotRun,
-                    _ => RunOutcome::Whole,
+                    _ => RunOutcome::Complete,
                 };
-                if spec.whole || book.run_ended(now, &spec, &run(outcome, made)) {
+                if spec.complete || book.run_ended(now, &spec, &run(outcome, made)) {
                     let end = match rng.random_range(0..4) {
                         0 => RewardOutcome::Missed,
                         1 => RewardOutcome::Failed { attempts: 4 },
@@ -70,7 +70,7 @@
 }
 
 fn texts(book: &JobTable) -> Vec<Vec<String>> {
-    let held = (0..JOBS).map(name).filter(|name| book.knows(&name.parse().expect("an id")));
+    let held = (0..JOBS).map(name).filter(|name| book.contains(&name.parse().expect("an id")));
     held.map(|name| text_of(book, &name)).collect()
 }
 
--- a/crates/jobs/tests/trace.rs
+++ b/crates/jobs/tests/trace.rs
@@ -31,7 +31,7 @@
 }
 
 fn finish(book: &mut JobTable, spec: &RunSpec, ran: u64, scored: u64, listed: u64) {
-    book.run_ended(at(ran), spec, &run(RunOutcome::Whole, events(1, 1, 3)));
+    book.run_ended(at(ran), spec, &run(RunOutcome::Complete, events(1, 1, 3)));
     let record = book.scored(at(scored), &spec.item, RewardOutcome::Scored("s".to_owned()));
     book.apply(at(listed), record.expect("listed"));
 }
@@ -46,9 +46,9 @@
     let second = start(&mut book, 1_500, "item-1").expect("started");
     finish(&mut book, &first, 1_700, 1_750, 1_800);
     finish(&mut book, &second, 2_500, 2_900, 3_000);
-    book.told(at(3_100), &id("j"), 1);
-    book.told(at(3_200), &id("j"), 2);
-    let account = book.account(at(3_500), &id("j")).expect("an account");
+    book.record_read(at(3_100), &id("j"), 1);
+    book.record_read(at(3_200), &id("j"), 2);
+    let account = book.finish_timings(at(3_500), &id("j")).expect("an account");
     assert_eq!(text_of(&book, "j").len(), 2);
     assert_eq!(account.first_run, Some(ms(400)));
     assert_eq!(account.wanted, Some(ms(2_000)));
@@ -59,7 +59,7 @@
     assert_eq!((last.waited, last.ran, last.scored), (ms(500), ms(1_000), ms(400)));
     assert_eq!(last.runs, 1);
     // Held by old weights for 0.3 s, then by full engines until both had started.
-    assert_eq!(account.holds, [(BlockReason::OldWeights, ms(300)), (BlockReason::Full, ms(200))]);
+    assert_eq!(account.blocked, [(BlockReason::OldWeights, ms(300)), (BlockReason::Full, ms(200))]);
 }
 
 #[test]
@@ -74,12 +74,12 @@
     for spec in &specs[2..] {
         finish(&mut book, spec, 300, 310, 320);
     }
-    let whole = book.account(at(400), &id("second")).expect("an account");
+    let whole = book.finish_timings(at(400), &id("second")).expect("an account");
     assert_eq!((whole.wanted, whole.carried), (None, 2), "another group does not do");
     for spec in &specs[..2] {
         finish(&mut book, spec, 600, 610, 620);
     }
-    let account = book.account(at(700), &id("second")).expect("an account");
+    let account = book.finish_timings(at(700), &id("second")).expect("an account");
     assert_eq!(account.wanted, Some(ms(520)));
 }
 
@@ -89,6 +89,6 @@
     book.apply(at(0), accepted(job("j", 1)));
     let end = book.end(&id("j")).expect("a record");
     book.apply(at(10), end);
-    assert_eq!(book.account(at(20), &id("j")), None);
-    assert_eq!(book.account(at(20), &id("other")), None);
+    assert_eq!(book.finish_timings(at(20), &id("j")), None);
+    assert_eq!(book.finish_timings(at(20), &id("other")), None);
 }
--- a/crates/keeping/src/keeper.rs
+++ b/crates/keeping/src/keeper.rs
@@ -124,7 +124,7 @@
     }
 
     /// The token it acts under; `None` while it does not keep.
-    pub const fn acting(&self) -> Option<FencingToken> {
+    pub const fn acting_token(&self) -> Option<FencingToken> {
         self.acting
     }
 
@@ -278,7 +278,7 @@
         let ledger = self.steps.get_mut(&placement.step)?;
         let (slot, attempt) = (placement.assignment.slot, placement.assignment.attempt);
         match end {
-            AttemptOutcome::Made(sample) => return Some(ledger.finished(attempt, sample)),
+            AttemptOutcome::Completed(sample) => return Some(ledger.finished(attempt, sample)),
             AttemptOutcome::NotRun { .. } => ledger.failed(slot, attempt, false),
             AttemptOutcome::Unusable | AttemptOutcome::TooOld => ledger.failed(slot, attempt, true),
         }
@@ -342,7 +342,7 @@
     /// Takes a predecessor's steps; they are resumed once this box holds the lease.
     pub fn adopt(&mut self, now: Moment, snapshots: Vec<StepSnapshot>, token: FencingToken) {
         self.seen = self.seen.max(token);
-        self.claim.raise(now, self.seen);
+        self.claim.observe_token(now, self.seen);
         self.claim.expedite(now);
         self.adopted = snapshots;
         self.follow_claim(now);
@@ -355,7 +355,7 @@
     /// The token to act under, unless the trainer has seen a higher one.
     fn act(&mut self, now: Moment, seen: FencingToken) -> Result<FencingToken, KeeperRefusal> {
         self.seen = self.seen.max(seen);
-        self.claim.raise(now, self.seen);
+        self.claim.observe_token(now, self.seen);
         match self.acting {
             Some(token) if seen > token => {
                 self.step_down();
@@ -431,7 +431,7 @@
 
     fn note_target(&mut self, now: Moment, target: &TargetId, end: &AttemptOutcome) {
         match end {
-            AttemptOutcome::Made(_) | AttemptOutcome::TooOld => self.chooser.succeeded(target),
+            AttemptOutcome::Completed(_) | AttemptOutcome::TooOld => self.chooser.succeeded(target),
             AttemptOutcome::Unusable => self.chooser.failed(now, target),
             AttemptOutcome::NotRun { reason: NotRun::Unreachable, .. } => {
                 self.chooser.failed(now, target);
--- a/crates/keeping/src/keeper/reign.rs
+++ b/crates/keeping/src/keeper/reign.rs
@@ -140,7 +140,7 @@
         }
         let vain_for = self.vain_for(now).unwrap_or_default();
         if vain_for >= self.settings.term * FORCE_TERMS {
-            self.claim.force(now);
+            self.claim.force_takeover(now);
         }
     }
 }
--- a/crates/keeping/src/messages.rs
+++ b/crates/keeping/src/messages.rs
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum AttemptOutcome {
     /// A whole, attributed and judged sample.
-    Made(Sample),
+    Completed(Sample),
     /// The work did not run; come back to this target after the time stated.
     NotRun {
         /// Why.
--- a/crates/keeping/tests/keeper.rs
+++ b/crates/keeping/tests/keeper.rs
@@ -76,7 +76,7 @@
     keeper.lease_read(now, ReadOutcome::Absent);
     keeper.poll(now);
     keeper.lease_written(now, WriteOutcome::Applied(ObjectVersion::new(1)));
-    assert_eq!(keeper.acting(), Some(FencingToken::new(1)));
+    assert_eq!(keeper.acting_token(), Some(FencingToken::new(1)));
 }
 
 #[test]
@@ -92,7 +92,7 @@
                 keeper.lease_read(at(millis), ReadOutcome::NoAnswer);
             }
         }
-        assert_eq!(keeper.acting(), None, "detached at {millis} ms");
+        assert_eq!(keeper.acting_token(), None, "detached at {millis} ms");
     }
 }
 
@@ -107,7 +107,7 @@
                 keeper.lease_read(at(millis), ReadOutcome::NoAnswer);
             }
         }
-        acting = acting.or(keeper.acting());
+        acting = acting.or(keeper.acting_token());
     }
     assert_eq!(acting, Some(FencingToken::new(5)));
 }
@@ -124,10 +124,10 @@
             }
         }
     }
-    assert_eq!(keeper.acting(), Some(FencingToken::new(1)));
+    assert_eq!(keeper.acting_token(), Some(FencingToken::new(1)));
     keeper.pull(at(20_001), StepNumber::new(1), &pull(1)).unwrap();
     keeper.pull(at(20_002), StepNumber::new(1), &pull(2)).unwrap_err();
-    assert_eq!(keeper.acting(), None);
+    assert_eq!(keeper.acting_token(), None);
 }
 
 #[test]
@@ -195,7 +195,7 @@
                 engine: placement.target.clone(),
             };
             made += 1;
-            keeper.attempt_ended(at(*now), &placement, AttemptOutcome::Made(sample), None);
+            keeper.attempt_ended(at(*now), &placement, AttemptOutcome::Completed(sample), None);
         }
     };
     // Two at a time, by the trainer's limit; the third and fourth must wait.
@@ -257,15 +257,15 @@
     take_lease(&mut keeper, at(0));
     keeper.open(at(1), spec(1), &SlotSet::default(), FencingToken::default()).expect("open");
     lease_calls(&mut keeper, 2, 40_000, &ReadOutcome::Absent);
-    assert_eq!(keeper.acting(), Some(FencingToken::new(1)), "its step is open");
+    assert_eq!(keeper.acting_token(), Some(FencingToken::new(1)), "its step is open");
     keeper.close(at(40_000), StepNumber::new(1), FencingToken::new(1)).expect("closed");
     lease_calls(&mut keeper, 40_000, 80_000, &ReadOutcome::Absent);
-    assert_eq!(keeper.acting(), None);
+    assert_eq!(keeper.acting_token(), None);
     let rest = lease_calls(&mut keeper, 80_000, 140_000, &ReadOutcome::Absent);
     assert_eq!(rest, (0, 0), "reads and writes in a minute");
     keeper.pull(at(140_000), StepNumber::new(2), &pull(1)).expect_err("not yet");
     lease_calls(&mut keeper, 140_000, 141_000, &ReadOutcome::Absent);
-    assert_eq!(keeper.acting(), Some(FencingToken::new(2)));
+    assert_eq!(keeper.acting_token(), Some(FencingToken::new(2)));
 }
 
 /// Reads are answered, but each write's answer takes longer than the lease's term.
@@ -290,7 +290,7 @@
                 KeeperAction::Start(_) => {}
             }
         }
-        acting = acting.or(keeper.acting());
+        acting = acting.or(keeper.acting_token());
     }
     assert!(acting.is_some(), "nobody keeps the step");
 }
--- a/crates/ledger/src/intake.rs
+++ b/crates/ledger/src/intake.rs
@@ -84,7 +84,7 @@
 
     /// Takes a keeper's word of its token and the pool's rule, and the samples of an answer. A
     /// rule of an older generation than one heard before is not believed.
-    pub fn take(
+    pub fn accept(
         &mut self,
         token: FencingToken,
         rule: PoolRule,
--- a/crates/ledger/tests/delivery.rs
+++ b/crates/ledger/tests/delivery.rs
@@ -168,12 +168,12 @@
 fn the_trainer_takes_each_slot_once_and_nothing_stale() {
     let mut intake = StepReceiver::new(spec(2));
     let slot = SlotIndex::new(0);
-    let taken = intake.take(TOKEN, rule(1, 2), vec![sample(slot, &[2], "a")]);
+    let taken = intake.accept(TOKEN, rule(1, 2), vec![sample(slot, &[2], "a")]);
     assert_eq!(taken.expect("a good token").taken.len(), 1);
-    let again = intake.take(TOKEN, rule(1, 2), vec![sample(slot, &[2], "b")]);
+    let again = intake.accept(TOKEN, rule(1, 2), vec![sample(slot, &[2], "b")]);
     assert_eq!(again.expect("a good token").doubled, 1);
     let old = vec![sample(SlotIndex::new(1), &[2], "c"), sample(SlotIndex::new(9), &[4], "d")];
-    let late = intake.take(TOKEN, rule(2, 4), old).expect("a good token");
+    let late = intake.accept(TOKEN, rule(2, 4), old).expect("a good token");
     assert_eq!((late.stale, late.foreign, late.taken.len()), (1, 1, 0));
 }
 
@@ -181,8 +181,8 @@
 fn the_trainer_refuses_an_answer_under_a_lower_token() {
     let mut intake = StepReceiver::new(spec(1));
     let slot = SlotIndex::new(0);
-    intake.take(TOKEN.next(), rule(1, 1), Vec::new()).expect("the first token");
-    let refused = intake.take(TOKEN, rule(1, 1), vec![sample(slot, &[1], "a")]);
+    intake.accept(TOKEN.next(), rule(1, 1), Vec::new()).expect("the first token");
+    let refused = intake.accept(TOKEN, rule(1, 1), vec![sample(slot, &[1], "a")]);
     refused.unwrap_err();
     assert!(intake.held().is_empty());
 }
--- a/crates/links/src/pool.rs
+++ b/crates/links/src/pool.rs
@@ -134,7 +134,7 @@
     }
 
     /// Sends a heartbeat; a failure shows as the peer's own silence.
-    pub async fn beat(&self, address: &str, beat: BoxHeartbeat) -> Result<(), CallError> {
+    pub async fn send_heartbeat(&self, address: &str, beat: BoxHeartbeat) -> Result<(), CallError> {
         let link = self.link(address).await?;
         let frame = Frame { call: 0, body: Some(Body::Heartbeat(beat)) };
         // A beat must not wait behind a stuck connection.
--- a/crates/links/src/server.rs
+++ b/crates/links/src/server.rs
@@ -41,7 +41,7 @@
     ) -> impl Future<Output = ()> + Send;
 
     /// Takes a heartbeat.
-    fn beat(&self, beat: BoxHeartbeat) -> impl Future<Output = ()> + Send;
+    fn handle_heartbeat(&self, beat: BoxHeartbeat) -> impl Future<Output = ()> + Send;
 }
 
 /// Accepts connections until `stop` is cancelled.
@@ -123,7 +123,7 @@
                 // A full queue holds frames that show the life of this link as well.
                 let _unsent = frames.try_send(Frame { call: 0, body: Some(Body::Pong(Pong {})) });
             }
-            Some(Body::Heartbeat(beat)) => handler.beat(beat).await,
+            Some(Body::Heartbeat(beat)) => handler.handle_heartbeat(beat).await,
             _ => log::warn!(target: "links", peer:% = peer; "frame out of place, skipped"),
         }
     }
--- a/crates/links/tests/silent_links.rs
+++ b/crates/links/tests/silent_links.rs
@@ -49,7 +49,7 @@
         sink.end(ResponseEnd::default()).await;
     }
 
-    async fn beat(&self, _: BoxHeartbeat) {}
+    async fn handle_heartbeat(&self, _: BoxHeartbeat) {}
 }
 
 /// A proxy before a box that answers.
--- a/crates/links/tests/whole_answers.rs
+++ b/crates/links/tests/whole_answers.rs
@@ -72,7 +72,7 @@
         }
     }
 
-    async fn beat(&self, _: BoxHeartbeat) {}
+    async fn handle_heartbeat(&self, _: BoxHeartbeat) {}
 }
 
 async fn echo_server() -> SocketAddr {
--- a/crates/node/src/duties.rs
+++ b/crates/node/src/assignments.rs
@@ -56,8 +56,8 @@
     }
 
     /// Those of them that are at work: the others stand by and are not heard.
-    pub fn at_work(&self) -> Vec<&StorageBox> {
-        active_boxes(self.boxes(), |copy| self.has_duty(&copy.box_id))
+    pub fn active_boxes(&self) -> Vec<&StorageBox> {
+        active_boxes(self.boxes(), |copy| self.has_assignment(&copy.box_id))
     }
 
     /// A shard's plan.
@@ -86,7 +86,7 @@
     }
 
     /// Whether any plan names a box.
-    pub fn has_duty(&self, box_id: &BoxId) -> bool {
+    pub fn has_assignment(&self, box_id: &BoxId) -> bool {
         self.plans.values().any(|sighting| sighting.plan.rank(box_id).is_some())
     }
 
@@ -150,7 +150,7 @@
 impl KindSink for AssignmentSink {
     fn listed(&mut self, listing: &Listing) {
         let now = self.0.now();
-        let mut duties = self.0.duties();
+        let mut duties = self.0.assignments();
         for stored in &listing.objects {
             if !suspects::take_object(&self.0, stored) {
                 duties.put(now, stored);
@@ -167,12 +167,12 @@
             Changed::Put(stored) => {
                 let now = self.0.now();
                 if !suspects::take_object(&self.0, stored) {
-                    self.0.duties().put(now, stored);
+                    self.0.assignments().put(now, stored);
                 }
             }
             Changed::Removed(name) => {
                 suspects::take_removal(&self.0, name);
-                self.0.duties().remove(name);
+                self.0.assignments().remove(name);
             }
         }
         self.0.wake();
--- a/crates/node/src/choice.rs
+++ b/crates/node/src/choice.rs
@@ -16,7 +16,7 @@
     /// Targets that were tried.
     pub tried: &'a [InstanceId],
     /// Whether one of these is better than none.
-    pub again: bool,
+    pub allow_tried: bool,
     /// Whether nobody waits for this one call.
     pub is_background: bool,
 }
@@ -40,24 +40,25 @@
 ) -> TargetChoice {
     let mut rng = rand::rng();
     let Some(service) = route.service(rng.random()) else { return TargetChoice::None };
-    let WorkAdmission::Open(barred) = view.gate(need.work, service, need.is_background) else {
+    let WorkAdmission::Open(barred) = view.admit_work(need.work, service, need.is_background)
+    else {
         return TargetChoice::Quarantined;
     };
-    let company = view.suspects().company(need.work);
+    let anti_affinity = view.suspects().anti_affinity(need.work);
     let now = view.now();
-    let mut board = view.board();
+    let mut board = view.target_table();
     let mut among = |avoid: &[InstanceId]| {
         let need = TargetRequirements { avoid, ..TargetRequirements::default() };
         board.choose(now, service, &need, &mut rng)
     };
     // Rather beside other work under suspicion than nowhere new, and rather the same target again than none.
-    let apart = [&barred, company.places.as_slice()].concat();
+    let apart = [&barred, anti_affinity.targets.as_slice()].concat();
     let mut slot = among(&[need.tried, &apart].concat());
-    if !company.alone {
+    if !anti_affinity.required {
         slot = slot.or_else(|| among(&[need.tried, &barred].concat()));
     }
-    if need.again {
-        let last = if company.alone { &apart } else { &barred };
+    if need.allow_tried {
+        let last = if anti_affinity.required { &apart } else { &barred };
         slot = slot.or_else(|| among(last));
     }
     drop(board);
--- a/crates/node/src/ends.rs
+++ b/crates/node/src/ends.rs
@@ -13,30 +13,30 @@
 /// caller's next try, which does not wait for it.
 pub fn record_disconnect(view: &Arc<NodeView>, slot: &ChosenTarget, work: WorkDigest) {
     // A target that leaves or has lapsed ends for a reason of its own.
-    if !view.board().stays(&slot.instance) {
+    if !view.target_table().stays(&slot.instance) {
         return;
     }
-    let life = slot.life();
+    let life = slot.incarnation();
     let end = TargetCrash { life: life.clone(), software: slot.software.clone() };
-    if view.suspects().broke(view.now(), work, &slot.service, end) {
+    if view.suspects().record_break(view.now(), work, &slot.service, end) {
         tokio::spawn(look(Arc::clone(view), slot.clone(), life, work));
     }
 }
 
 /// Looks whether anything listens where a target was.
 async fn look(view: Arc<NodeView>, slot: ChosenTarget, life: TargetIncarnation, work: WorkDigest) {
-    let state = view.pool.look(slot.address).await;
+    let state = view.pool.probe(slot.address).await;
     let outcome = match state {
         PortState::Refuses => "ended",
         PortState::Listens => "listens",
-        PortState::Silent => "silent",
+        PortState::Unresponsive => "silent",
     };
-    view.metrics.ended("broken_target", outcome);
+    view.metrics.count_outcome("broken_target", outcome);
     if state == PortState::Refuses {
-        view.suspects().refuses(view.now(), &life);
+        view.suspects().connection_refused(view.now(), &life);
         view.suspects_changed();
     }
-    let ends = view.suspects().ends(work);
+    let ends = view.suspects().crash_count(work);
     log::info!(
         target: "targets", work:% = work, target:% = life, service:% = slot.service, ends = ends,
         outcome = outcome;
--- a/crates/node/src/feed/cache.rs
+++ b/crates/node/src/feed/cache.rs
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct KindNews {
     /// All objects are told: whatever is not among them is gone.
-    pub whole: bool,
+    pub full: bool,
     /// New and changed objects.
     pub objects: Vec<FeedObject>,
     /// Names of objects that are gone; one that came again is among the objects.
@@ -202,7 +202,7 @@
             let objects = self.objects.values().filter(|object| filter.passes(object));
             let objects = objects.map(|object| object.told.clone()).collect();
             return Some(KindNews {
-                whole: true,
+                full: true,
                 objects,
                 removed: Vec::new(),
                 revision: self.revision,
@@ -215,7 +215,7 @@
         let removed = self.removed.range((revision + 1, String::new())..);
         let removed: Vec<String> = removed.map(|(_, name)| name.clone()).collect();
         let news = !objects.is_empty() || !removed.is_empty();
-        news.then_some(KindNews { whole: false, objects, removed, revision: self.revision })
+        news.then_some(KindNews { full: false, objects, removed, revision: self.revision })
     }
 }
 
--- a/crates/node/src/feed/client.rs
+++ b/crates/node/src/feed/client.rs
@@ -74,7 +74,7 @@
     };
     tokio::select! {
         () = listener.run() => {}
-        () = view.feed.trust().expire(|proof| tell_lost(&view, proof)) => {}
+        () = view.feed.freshness().expire(|proof| tell_lost(&view, proof)) => {}
         () = stop.cancelled() => {}
     }
 }
@@ -105,7 +105,7 @@
         loop {
             let Some(teller) = self.teller() else {
                 if self.is_first() || started.elapsed() >= NO_BOX_TIME {
-                    self.view.feed.trust().tell_nobody();
+                    self.view.feed.freshness().tell_nobody();
                 }
                 self.tell_counts_elsewhere().await;
                 // Changed or not, it is looked again.
@@ -113,10 +113,13 @@
                 continue;
             };
             let asked_at = Instant::now();
-            let wait =
-                if self.view.feed.trust().is_served_by_feed() { FEED_WAIT } else { Duration::ZERO };
+            let wait = if self.view.feed.freshness().is_served_by_feed() {
+                FEED_WAIT
+            } else {
+                Duration::ZERO
+            };
             if let Some((page, services)) = self.ask(&teller, wait).await {
-                self.view.feed.trust().note_answer();
+                self.view.feed.freshness().note_answer();
                 let no_news = page.kinds.is_empty();
                 let is_fresh = self.take(&teller, asked_at, page).await;
                 if let Some(services) = services {
@@ -131,10 +134,10 @@
                     continue;
                 }
                 // Its news are old: another box may know better.
-                self.view.metrics.ended("feed", "old");
+                self.view.metrics.count_outcome("feed", "old");
                 self.silent.insert(teller.box_id, Instant::now());
             } else {
-                self.view.metrics.ended("feed", "not told");
+                self.view.metrics.count_outcome("feed", "not told");
                 self.silent.insert(teller.box_id, Instant::now());
             }
         }
@@ -157,7 +160,7 @@
 
     /// The boxes of this domain that keep data, in the order in which they are asked.
     fn ranked(&self) -> Vec<StorageBox> {
-        let duties = self.view.duties();
+        let duties = self.view.assignments();
         let domain = &self.view.settings.domain;
         let here: Vec<&StorageBox> = duties.boxes().filter(|copy| copy.domain == *domain).collect();
         let ids = here.iter().map(|copy| &copy.box_id);
@@ -247,7 +250,7 @@
     /// A box that keeps data in another domain; none for a box that keeps data itself, which tells all others.
     fn peer_elsewhere(&self) -> Option<StorageBox> {
         let settings = &self.view.settings;
-        let duties = self.view.duties();
+        let duties = self.view.assignments();
         if duties.boxes().any(|copy| copy.box_id == settings.box_id) {
             return None;
         }
@@ -276,11 +279,11 @@
         let all_known = self.kinds.iter().all(|fed| *fed.revision.borrow() > 0);
         let proof =
             proven_at.map(|proven_at| FreshnessProof { teller: teller.box_id.clone(), proven_at });
-        let trust = self.view.feed.trust();
+        let trust = self.view.feed.freshness();
         let proof = proof.filter(|proof| all_known && trust.is_fresh(proof));
         let Some(proof) = proof else { return false };
         self.view.store_answered(Kind::Configuration, true);
-        if self.view.feed.trust().hear(proof) {
+        if self.view.feed.freshness().accept_proof(proof) {
             log::info!(
                 target: "node", dependency = "feed", peer:% = teller.box_id, age_ms = page.age_ms;
                 "regained"
--- a/crates/node/src/feed/mod.rs
+++ b/crates/node/src/feed/mod.rs
@@ -47,7 +47,7 @@
     (1, Kind::Configuration),
     (2, Kind::Targets),
     (3, Kind::ModelVersions),
-    (4, Kind::Duties),
+    (4, Kind::ClusterState),
     (5, Kind::Retirements),
     (6, Kind::Evacuations),
 ];
@@ -85,7 +85,7 @@
         Self {
             caches: Mutex::default(),
             proven_at: Mutex::default(),
-            trust: FeedFreshness::new(times.hear),
+            trust: FeedFreshness::new(times.max_proof_age),
             times,
             changed: watch::Sender::new(0),
             only_listens: AtomicBool::new(false),
@@ -161,7 +161,7 @@
     }
 
     /// Notes that the store has answered this box about `kind`.
-    pub fn proven(&self, kind: Kind, now: Moment) {
+    pub fn record_proof(&self, kind: Kind, now: Moment) {
         self.proofs().insert(kind, now);
     }
 
@@ -176,11 +176,12 @@
 
     /// Whether a kind is known as it was a moment ago: by an answer of the store, or by another box's word of one.
     pub fn knows(&self, kind: Kind, now: Moment) -> bool {
-        self.age(kind, now).is_some_and(|age| age < self.times.hear) || self.trust.is_proven()
+        self.age(kind, now).is_some_and(|age| age < self.times.max_proof_age)
+            || self.trust.is_proven()
     }
 
     /// Whether another box tells this one, so that its own watches rest.
-    pub const fn trust(&self) -> &FeedFreshness {
+    pub const fn freshness(&self) -> &FeedFreshness {
         &self.trust
     }
 }
--- a/crates/node/src/feed/serve.rs
+++ b/crates/node/src/feed/serve.rs
@@ -26,7 +26,7 @@
             let agreed = view.usage.is_time_agreed();
             let true_ms = if agreed { view.usage.time_at(view.now()).millis() } else { 0 };
             let held_ms = millis(asked_at.elapsed());
-            let life = view.usage.life().get();
+            let life = view.usage.incarnation().get();
             let kinds = if kinds.is_empty() { news(view, read, true) } else { kinds };
             return FeedPage { kinds, age_ms: millis(age), held_ms, true_ms, incarnation: life };
         }
@@ -39,7 +39,7 @@
 /// How long ago this box last knew all binding kinds to be current of those that are asked for. A box
 /// that only hears of the store has no proof.
 fn proof_age(view: &NodeView, read: &FeedRead) -> Duration {
-    if view.feed.trust().is_served_by_feed() {
+    if view.feed.freshness().is_served_by_feed() {
         return Duration::MAX;
     }
     let asked = read.cursors.iter().filter_map(|cursor| kind_of(cursor.kind));
@@ -78,7 +78,7 @@
 fn write_news(kind: u32, news: KindNews) -> FeedKind {
     FeedKind {
         kind,
-        full: news.whole,
+        full: news.full,
         revision: news.revision,
         objects: news.objects,
         removed: news.removed,
--- a/crates/node/src/feed/times.rs
+++ b/crates/node/src/feed/times.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FeedTimes {
     /// A box asks the store for itself when the last proof it heard of is older than this.
-    pub hear: Duration,
+    pub max_proof_age: Duration,
     /// A box whose oldest proof is older than this does not wait for news.
     pub tell: Duration,
     /// The watch that proves a kind to be current. One whose answer is overdue is begun again while the last proof is
@@ -30,6 +30,6 @@
     pub fn for_bound(bound: Duration) -> Self {
         let hear = bound.max(LEAST_BOUND).saturating_sub(WAY);
         let proof = WatchTime { wait: hear / 2, slack: PROOF_SLACK };
-        Self { hear, tell: hear.saturating_sub(TELL_MARGIN), proof }
+        Self { max_proof_age: hear, tell: hear.saturating_sub(TELL_MARGIN), proof }
     }
 }
--- a/crates/node/src/feed/trust.rs
+++ b/crates/node/src/feed/trust.rs
@@ -52,7 +52,7 @@
     }
 
     /// Takes a proof; `true` when the box was not told before.
-    pub fn hear(&self, proof: FreshnessProof) -> bool {
+    pub fn accept_proof(&self, proof: FreshnessProof) -> bool {
         // In this order: the proof wakes whoever ends the trust, and it must be there to be ended.
         let is_new = self.set(true);
         self.heard.send_replace(Some(proof));
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -116,7 +116,7 @@
         let (sender, news) = mpsc::channel(1);
         self.news = Some(news);
         // The duties tell who feeds.
-        if self.kind != Kind::Duties {
+        if self.kind != Kind::ClusterState {
             self.first = FirstLook::WaitsForFeed;
         }
         FedKind { kind: self.kind, revision: self.revision.subscribe(), news: sender }
@@ -141,7 +141,7 @@
     }
 
     async fn follow(&mut self) {
-        let mut fed = self.view.feed.trust().states();
+        let mut fed = self.view.feed.freshness().states();
         let mut pace = ProbePace::default();
         let mut ask_at = Instant::now();
         let mut wait = self.usual_time();
@@ -187,7 +187,7 @@
             match answered {
                 Ok(told) => {
                     self.view.store_answered(self.kind, true);
-                    self.view.feed.proven(self.kind, self.view.now());
+                    self.view.feed.record_proof(self.kind, self.view.now());
                     pace.answered();
                     wait = self.usual_time();
                     let lists = matches!(told, FedNews::Listed(_));
@@ -217,7 +217,7 @@
                     wait = PROBE_TIME;
                     log::debug!(target: "node", kind:% = self.kind, error:% = error; "store call failed");
                     if self.kind == Kind::Configuration {
-                        let told = self.may_hear_later && self.view.feed.trust().answers();
+                        let told = self.may_hear_later && self.view.feed.freshness().answers();
                         ask_at = Instant::now() + pace.failed(told);
                     } else {
                         time::sleep(pace.failed(false)).await;
@@ -247,11 +247,11 @@
         let told = tokio::select! {
             biased;
             told = next_news(news) => told,
-            _nobody = time::timeout(FIRST_FEED, self.view.feed.trust().wait_for_nobody()) => None,
+            _nobody = time::timeout(FIRST_FEED, self.view.feed.freshness().wait_for_nobody()) => None,
         };
         let known = self.take(told?);
         // The same answer told of other kinds, and counts as heard once their tasks have taken them.
-        let mut fed = self.view.feed.trust().states();
+        let mut fed = self.view.feed.freshness().states();
         let _fed = time::timeout(FEED_RETURN, fed.wait_for(|fed| *fed)).await;
         Some(known)
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -4,9 +4,9 @@
 //! versions, and whether the store answers. Followers keep it current; everything on the request
 //! path only reads it. [`call_plain`] sends one plain request, with its retries.
 
+pub mod assignments;
 mod choice;
 mod clock;
-pub mod duties;
 mod ends;
 pub mod feed;
 pub mod follow;
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -52,7 +52,7 @@
 
 impl StoreCall {
     /// The word for metrics and logs.
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::List => "list",
             Self::ListOld => "list-old",
@@ -74,7 +74,7 @@
     fn encode(&self, encoder: &mut LabelSetEncoder<'_>) -> Result<(), fmt::Error> {
         use prometheus_client::encoding::EncodeLabel;
         ("kind", self.kind.to_string()).encode(encoder.encode_label())?;
-        ("call", self.call.word()).encode(encoder.encode_label())
+        ("call", self.call.as_str()).encode(encoder.encode_label())
     }
 }
 
@@ -169,19 +169,19 @@
 
 impl NodeMetrics {
     /// Counts something that ended.
-    pub fn ended(&self, what: &'static str, outcome: &'static str) {
+    pub fn count_outcome(&self, what: &'static str, outcome: &'static str) {
         self.ended.get_or_create(&OutcomeLabels { what, outcome }).inc();
     }
 
     /// Notes how long a request took.
-    pub fn took(&self, time: Duration) {
+    pub fn observe_latency(&self, time: Duration) {
         self.latency.observe(time.as_secs_f64());
     }
 
     /// Counts a call to the store.
     pub fn store_call(&self, kind: Kind, call: StoreCall) {
         self.store_calls.get_or_create(&CallLabels { kind, call }).inc();
-        *self.untold().entry((kind.word(), call.word())).or_default() += 1;
+        *self.untold().entry((kind.as_str(), call.as_str())).or_default() += 1;
     }
 
     fn untold(&self) -> MutexGuard<'_, BTreeMap<(&'static str, &'static str), u64>> {
--- a/crates/node/src/plain.rs
+++ b/crates/node/src/plain.rs
@@ -101,7 +101,7 @@
         matches!(self, Self::Answered | Self::Broken | Self::OtherAnswer | Self::Unsigned)
     }
 
-    const fn word(self) -> &'static str {
+    const fn as_str(self) -> &'static str {
         match self {
             Self::Answered => "answered",
             Self::NotSent => "not sent",
@@ -127,7 +127,7 @@
         let need = WorkRequirements {
             work,
             tried: &tried,
-            again: true,
+            allow_tried: true,
             is_background: call.is_background,
         };
         let slot = match choose_target(view, call.route, &need) {
@@ -178,17 +178,17 @@
     reason: &'static str,
 ) -> PlainOutcome {
     if !call.is_background {
-        view.suspects().given_up(work);
+        view.suspects().caller_unanswered(work);
     }
     view.suspects_changed();
     PlainOutcome::Unknown(reason)
 }
 
 fn condemned(view: &NodeView, call: &PlainCall<'_>, work: WorkDigest) -> PlainOutcome {
-    view.metrics.ended("work", "condemned");
+    view.metrics.count_outcome("work", "condemned");
     log::info!(
         target: "targets", request = call.request_id, work:% = work, route:% = call.route.name,
-        ends = view.suspects().ends(work), outcome = "condemned";
+        ends = view.suspects().crash_count(work), outcome = "condemned";
         "work turned away"
     );
     PlainOutcome::Quarantined
@@ -217,7 +217,7 @@
     let (started, began) = (Instant::now(), view.now());
     let sent = async {
         let answer = view.pool.send(slot.address, request).await?;
-        answer.whole(MOST_ANSWER).await
+        answer.read_full(MOST_ANSWER).await
     };
     let (outcome, end) = match time::timeout(limit, sent).await {
         Err(_elapsed) => {
@@ -225,7 +225,7 @@
             (TryOutcome::Silent, TryEnd::Broken)
         }
         Ok(Err(SendError::NotSent(_))) => (TryOutcome::NotSent, TryEnd::NotRun),
-        Ok(Err(SendError::NoRoom)) => (TryOutcome::NoRoom, TryEnd::NotRun),
+        Ok(Err(SendError::LimitReached)) => (TryOutcome::NoRoom, TryEnd::NotRun),
         Ok(Err(SendError::Broken(_))) => (TryOutcome::Broken, TryEnd::Broken),
         Ok(Ok(answer)) => judge(view, call, slot, answer),
     };
@@ -240,7 +240,7 @@
     };
     match outcome {
         TryOutcome::Broken => record_disconnect(view, slot, work),
-        TryOutcome::OtherTarget => view.suspects().gone(view.now(), &slot.instance),
+        TryOutcome::OtherTarget => view.suspects().instance_gone(view.now(), &slot.instance),
         // Whatever the answer is, the target has lived to give it.
         TryOutcome::Answered => view.suspects().succeeded(work),
         _ => {}
@@ -248,7 +248,7 @@
     if outcome != TryOutcome::Answered || status >= StatusCode::INTERNAL_SERVER_ERROR.as_u16() {
         log::info!(
             target: "targets", request = call.request_id, work:% = work, target:% = slot.instance,
-            outcome = outcome.word(), status = status, took_ms = whole_millis(started.elapsed()), left_ms = whole_millis(left);
+            outcome = outcome.as_str(), status = status, took_ms = whole_millis(started.elapsed()), left_ms = whole_millis(left);
             "try ended"
         );
     }
@@ -264,17 +264,17 @@
 ) -> (TryOutcome, TryEnd) {
     let facts = headers::response_info(&answer.headers);
     if let Some(load) = facts.load {
-        view.board().record_load(view.now(), &slot.instance, load);
+        view.target_table().record_load(view.now(), &slot.instance, load);
     }
     if facts.request_id.as_deref().is_some_and(|id| id != call.request_id) {
         return (TryOutcome::OtherAnswer, TryEnd::Broken);
     }
     if answer.status == StatusCode::MISDIRECTED_REQUEST {
-        view.board().failed(view.now(), &slot.instance, TargetFailure::Gone);
+        view.target_table().failed(view.now(), &slot.instance, TargetFailure::Gone);
         return (TryOutcome::OtherTarget, TryEnd::NotRun);
     }
     if facts.not_run {
-        view.board().failed(view.now(), &slot.instance, TargetFailure::Full);
+        view.target_table().failed(view.now(), &slot.instance, TargetFailure::Full);
         return (TryOutcome::Full, TryEnd::NotRun);
     }
     if answer.status.is_success() && !is_signed(&facts) {
@@ -294,8 +294,8 @@
     outcome: TryOutcome,
     took: Duration,
 ) {
-    view.metrics.ended("target_try", outcome.word());
-    let mut board = view.board();
+    view.metrics.count_outcome("target_try", outcome.as_str());
+    let mut board = view.target_table();
     match end {
         TryEnd::Answered(answer) if answer.status.is_success() => {
             board.succeeded(view.now(), &slot.instance);
--- a/crates/node/src/sinks.rs
+++ b/crates/node/src/sinks.rs
@@ -85,11 +85,11 @@
 impl EvacuationSink {
     fn set(&self, domain: &DomainId, evacuated: bool, revision: u64) {
         let now = self.0.now();
-        if !self.0.board().evacuate(now, domain, evacuated) {
+        if !self.0.target_table().evacuate(now, domain, evacuated) {
             return;
         }
         let outcome = if evacuated { "emptied" } else { "in use" };
-        self.0.metrics.ended("evacuation", outcome);
+        self.0.metrics.count_outcome("evacuation", outcome);
         log::info!(target: "targets", domain:% = domain, revision = revision, outcome = outcome; "domain");
         self.0.wake();
     }
@@ -99,7 +99,7 @@
     fn listed(&mut self, listing: &Listing) {
         let named = listing.objects.iter().filter_map(|stored| stored.name.parse().ok());
         let named: HashSet<DomainId> = named.collect();
-        let known = self.0.board().evacuated().clone();
+        let known = self.0.target_table().evacuated().clone();
         for domain in known.difference(&named) {
             self.set(domain, false, listing.revision);
         }
@@ -146,12 +146,12 @@
         match platform::targets::read_target(stored) {
             Ok(record) => {
                 let (known, born) = {
-                    let board = self.view.board();
+                    let board = self.view.target_table();
                     let known = board.record(&record.instance);
                     (known.map(|known| known.leaving), known.map(|known| known.born))
                 };
                 if born.is_some_and(|born| born != record.born) {
-                    self.view.suspects().gone(self.view.now(), &record.instance);
+                    self.view.suspects().instance_gone(self.view.now(), &record.instance);
                 }
                 if known != Some(record.leaving) && !told {
                     log::info!(
@@ -162,12 +162,12 @@
                 }
                 if record.leaving {
                     // The word may come after its end.
-                    self.view.suspects().clear_incarnation(&record.life());
+                    self.view.suspects().clear_incarnation(&record.incarnation());
                     self.view.suspects_changed();
                 }
                 lock(&self.missing).remove(&record.instance);
                 self.accept(&stored.name);
-                self.view.board().put(self.view.now(), record);
+                self.view.target_table().put(self.view.now(), record);
             }
             Err(error) => self.refuse(stored, &error),
         }
@@ -183,7 +183,7 @@
         log::warn!(target: "targets", name = stored.name.as_str(), revision = stored.revision, error:% = error; "entry refused");
         let Ok(instance) = stored.name.parse::<InstanceId>() else { return };
         lock(&self.missing).remove(&instance);
-        if self.view.board().record(&instance).is_some() {
+        if self.view.target_table().record(&instance).is_some() {
             remove_targets(&self.view, &[instance]);
         }
     }
@@ -258,15 +258,15 @@
         if !told {
             log::info!(target: "targets", target:% = instance; "gone");
         }
-        view.board().remove(instance);
-        view.suspects().gone(view.now(), instance);
+        view.target_table().remove(instance);
+        view.suspects().instance_gone(view.now(), instance);
     }
 }
 
 impl KindSink for TargetSink {
     fn listed(&mut self, listing: &Listing) {
         // The first listing is told in one line: each of hundreds of boxes lists hundreds of targets.
-        let is_first = self.view.board().instances().next().is_none();
+        let is_first = self.view.target_table().instances().next().is_none();
         if is_first {
             log::info!(
                 target: "targets", targets = listing.objects.len(), revision = listing.revision;
@@ -282,7 +282,7 @@
         self.count_refused();
         let missing: Vec<InstanceId> = self
             .view
-            .board()
+            .target_table()
             .instances()
             .filter(|instance| !listed.contains(instance.as_str()))
             .cloned()
@@ -322,7 +322,7 @@
     }
 
     fn is_large(&self) -> bool {
-        self.view.board().instances().nth(LIST_PAGE).is_some()
+        self.view.target_table().instances().nth(LIST_PAGE).is_some()
     }
 
     /// Entries that come back are awaited.
--- a/crates/node/src/slot.rs
+++ b/crates/node/src/slot.rs
@@ -19,7 +19,7 @@
 impl SlotGuard {
     /// Takes over a slot that the board has counted.
     pub fn new(view: &Arc<NodeView>, work: WorkDigest, slot: ChosenTarget) -> Self {
-        view.suspects().began(work, &slot.instance);
+        view.suspects().work_started(work, &slot.instance);
         Self { view: Arc::clone(view), work, slot }
     }
 
@@ -36,7 +36,7 @@
 
 impl Drop for SlotGuard {
     fn drop(&mut self) {
-        self.view.board().ended(&self.slot.instance);
-        self.view.suspects().left(self.work, &self.slot.instance);
+        self.view.target_table().ended(&self.slot.instance);
+        self.view.suspects().work_ended(self.work, &self.slot.instance);
     }
 }
--- a/crates/node/src/suspects.rs
+++ b/crates/node/src/suspects.rs
@@ -46,21 +46,21 @@
 impl NodeView {
     /// Where work may run, by what is known of it now. Work that `is_background` is not let through while other boxes may
     /// tell what explains its ends better.
-    pub fn gate(
+    pub fn admit_work(
         &self,
         work: WorkDigest,
         service: &ServiceName,
         is_background: bool,
     ) -> WorkAdmission {
         let condemned = if is_background {
-            self.suspects().suspected(work, service)
+            self.suspects().suspected_versions(work, service)
         } else {
-            self.suspects().condemned(self.now(), work, service)
+            self.suspects().quarantined_versions(self.now(), work, service)
         };
         if condemned.is_empty() {
             return WorkAdmission::Open(Vec::new());
         }
-        let board = self.board();
+        let board = self.target_table();
         let (barred, free): (Vec<_>, Vec<_>) =
             board.of_service(service).partition(|record| condemned.contains(&record.software));
         if free.is_empty() {
@@ -86,8 +86,8 @@
     match (work_of(&stored.name), stored.parse::<SuspectRecord>()) {
         (Some(work), Ok(record)) => {
             let (now, told, service) = (view.now(), record.ends.len(), record.service.clone());
-            view.suspects().told(now, work, stored.revision, record);
-            let ends = view.suspects().ends(work);
+            view.suspects().apply_record(now, work, stored.revision, record);
+            let ends = view.suspects().crash_count(work);
             log::info!(
                 target: "targets", work:% = work, service:% = service, told = told, ends = ends,
                 revision = stored.revision;
@@ -97,7 +97,7 @@
         (None, _) => log::warn!(target: "targets", name = stored.name.as_str(); "suspect refused"),
         (Some(work), Err(error)) => {
             // Another writer's: nothing is believed under this name that stood there before.
-            view.suspects().untold(work);
+            view.suspects().apply_removal(work);
             log::warn!(target: "targets", work:% = work, error:% = error; "suspect refused");
         }
     }
@@ -107,7 +107,7 @@
 /// Takes the word that an object is gone.
 pub(crate) fn take_removal(view: &NodeView, name: &str) {
     if let Some(work) = work_of(name) {
-        view.suspects().untold(work);
+        view.suspects().apply_removal(work);
         log::info!(target: "targets", work:% = work; "work free again");
     }
 }
@@ -116,7 +116,7 @@
 pub(crate) fn take_listing(view: &NodeView, listing: &Listing) {
     let named = listing.objects.iter().filter_map(|stored| work_of(&stored.name));
     let named: HashSet<WorkDigest> = named.collect();
-    view.suspects().listed(&named);
+    view.suspects().apply_listing(&named);
 }
 
 /// Tells the others of work under suspicion and forgets what is old, until `stop`. A box that keeps data also clears
@@ -145,10 +145,10 @@
 
 /// A life that refused connections and is listed long after that has not ended: the way to it was cut.
 fn settle_lapsed(view: &NodeView) {
-    let lapsed = view.suspects().lapsed(view.now());
+    let lapsed = view.suspects().drain_expired_refusals(view.now());
     for life in lapsed {
         let lives = {
-            let board = view.board();
+            let board = view.target_table();
             board.stays(&life.instance)
                 && board.record(&life.instance).is_some_and(|record| record.born == life.born)
         };
@@ -161,13 +161,15 @@
 }
 
 async fn carry_out(view: &NodeView, write: SuspectWrite) -> Result<(), StoreError> {
-    view.metrics.store_call(Kind::Duties, StoreCall::Write);
+    view.metrics.store_call(Kind::ClusterState, StoreCall::Write);
     match write {
-        SuspectWrite::Tell { work, record, revision } => {
+        SuspectWrite::Publish { work, record, revision } => {
             let name = suspect_object(work);
             let written = match revision {
-                Some(revision) => view.store.replace(Kind::Duties, &name, revision, &record).await,
-                None => view.store.create(Kind::Duties, &name, &record).await,
+                Some(revision) => {
+                    view.store.replace(Kind::ClusterState, &name, revision, &record).await
+                }
+                None => view.store.create(Kind::ClusterState, &name, &record).await,
             };
             log::info!(
                 target: "targets", work:% = work, service:% = record.service, ends = record.ends.len(),
@@ -176,22 +178,22 @@
             );
             match written {
                 Ok(revision) => {
-                    view.suspects().written(view.now(), work, revision, record);
+                    view.suspects().write_confirmed(view.now(), work, revision, record);
                     Ok(())
                 }
-                Err(StoreError::NotDone(why)) => Err(StoreError::NotDone(why)),
+                Err(StoreError::NotApplied(why)) => Err(StoreError::NotApplied(why)),
                 // Another box was first, or nobody knows: what stands there decides.
                 Err(_) => read_back(view, work).await,
             }
         }
         SuspectWrite::Clear { work, revision } => {
             let name = suspect_object(work);
-            match view.store.remove(Kind::Duties, &name, revision).await {
+            match view.store.remove(Kind::ClusterState, &name, revision).await {
                 Ok(()) => {
-                    view.suspects().untold(work);
+                    view.suspects().apply_removal(work);
                     Ok(())
                 }
-                Err(StoreError::NotDone(why)) => Err(StoreError::NotDone(why)),
+                Err(StoreError::NotApplied(why)) => Err(StoreError::NotApplied(why)),
                 Err(_) => read_back(view, work).await,
             }
         }
@@ -199,12 +201,12 @@
 }
 
 async fn read_back(view: &NodeView, work: WorkDigest) -> Result<(), StoreError> {
-    view.metrics.store_call(Kind::Duties, StoreCall::Read);
-    match view.store.get(Kind::Duties, &suspect_object(work)).await? {
+    view.metrics.store_call(Kind::ClusterState, StoreCall::Read);
+    match view.store.get(Kind::ClusterState, &suspect_object(work)).await? {
         Some(stored) => {
             take_object(view, &stored);
         }
-        None => view.suspects().untold(work),
+        None => view.suspects().apply_removal(work),
     }
     Ok(())
 }
--- a/crates/node/src/usage.rs
+++ b/crates/node/src/usage.rs
@@ -50,7 +50,7 @@
         let life = Incarnation::new(wall_time().millis());
         Self {
             length,
-            source: CountSource { box_id, life },
+            source: CountSource { box_id, incarnation: life },
             clock: Mutex::default(),
             table: Mutex::default(),
             told: Mutex::default(),
@@ -58,8 +58,8 @@
     }
 
     /// The life that this process is.
-    pub const fn life(&self) -> Incarnation {
-        self.source.life
+    pub const fn incarnation(&self) -> Incarnation {
+        self.source.incarnation
     }
 
     /// How long windows are; `None` where nobody wants reports.
@@ -79,7 +79,7 @@
 
     /// Takes what a box, this one included, reads as its time of day.
     pub fn record_peer_time(&self, now: Moment, from: &BoxId, time: UnixTime) {
-        lock(&self.clock).hear(now, from, time);
+        lock(&self.clock).observe(now, from, time);
     }
 
     /// Takes true time from a box that has agreed on it with others.
@@ -156,7 +156,7 @@
 fn write_cell(count: &UsageCount) -> UsageCell {
     UsageCell {
         box_id: count.source.box_id.to_string(),
-        incarnation: count.source.life.get(),
+        incarnation: count.source.incarnation.get(),
         window: count.window.get(),
         customer: count.customer.to_string(),
         requests: count.requests,
@@ -167,7 +167,7 @@
     Some(UsageCount {
         source: CountSource {
             box_id: cell.box_id.parse().ok()?,
-            life: Incarnation::new(cell.incarnation),
+            incarnation: Incarnation::new(cell.incarnation),
         },
         window: UsageWindow::new(cell.window),
         customer: cell.customer.parse().ok()?,
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -12,8 +12,8 @@
 use tokio::sync::{Notify, watch};
 use upstream::{ConnectionLimit, TargetPool};
 
+use crate::assignments::AssignmentTable;
 use crate::clock::BeliefClock;
-use crate::duties::AssignmentTable;
 use crate::feed::{FeedState, FeedTimes};
 use crate::usage::UsageTracker;
 use crate::{NodeMetrics, NodeSettings};
@@ -126,7 +126,7 @@
         let wants_more = !table.called_services().is_subset(&current.called_services());
         *current = Arc::new(table);
         drop(current);
-        self.board().limit_cold(cold);
+        self.target_table().limit_cold(cold);
         if wants_more {
             self.feed.want_more();
         }
@@ -135,12 +135,12 @@
     }
 
     /// The targets; held only for a moment.
-    pub fn board(&self) -> MutexGuard<'_, TargetTable> {
+    pub fn target_table(&self) -> MutexGuard<'_, TargetTable> {
         self.board.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Who has which duty; held only for a moment.
-    pub fn duties(&self) -> MutexGuard<'_, AssignmentTable> {
+    pub fn assignments(&self) -> MutexGuard<'_, AssignmentTable> {
         self.duties.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -164,7 +164,7 @@
         if self.settings.shards > 0 {
             return Some(self.settings.shards);
         }
-        self.duties().layout().map(|layout| layout.shards)
+        self.assignments().layout().map(|layout| layout.shards)
     }
 
     /// Takes the version that is named for a model; versions only rise.
--- a/crates/node/tests/feed.rs
+++ b/crates/node/tests/feed.rs
@@ -32,7 +32,7 @@
 #[test]
 fn whoever_knows_nothing_hears_all_objects() {
     let news = listed().since(0).expect("news");
-    assert!(news.whole);
+    assert!(news.full);
     assert_eq!((news.objects.len(), news.revision), (2, 10));
     assert_eq!(KindCache::default().since(0), None, "nothing is known yet");
 }
@@ -43,7 +43,7 @@
     cache.changed(&put("b", 12));
     cache.changed(&removed("a", 14));
     let news = cache.since(10).expect("news");
-    assert!(!news.whole);
+    assert!(!news.full);
     assert_eq!(news.objects, [told("b", 12)]);
     assert_eq!(news.removed, ["a"]);
     assert_eq!(cache.since(12).expect("news").objects, []);
@@ -73,9 +73,9 @@
         cache.changed(&removed(&format!("d-{number}"), 2_000 + number));
     }
     let news = cache.since(10).expect("news");
-    assert!(news.whole, "its removals are forgotten");
+    assert!(news.full, "its removals are forgotten");
     assert_eq!(news.objects.len(), 2);
-    assert!(!cache.since(2_590).expect("news").whole);
+    assert!(!cache.since(2_590).expect("news").full);
 }
 
 /// The store forgets its history for all who watch it, and hundreds of boxes listen to each of these.
@@ -85,13 +85,13 @@
     let objects = vec![stored("b", 5), stored("c", 22)];
     cache.listed(&Listing { objects, revision: 30 });
     let news = cache.since(10).expect("news");
-    assert!(!news.whole);
+    assert!(!news.full);
     assert_eq!(news.objects, [told("c", 22)]);
     assert_eq!(news.removed, ["a"], "whether it was removed is known from the listing alone");
     assert_eq!(news.revision, 30);
     assert_eq!(cache.since(30), None);
     // Whoever knows nothing, or less than this box did, hears no less.
-    assert!(cache.since(0).expect("news").whole);
+    assert!(cache.since(0).expect("news").full);
 }
 
 /// Another box's word, or the store's own, may have told somebody of an object that came after this box's last news and
@@ -104,15 +104,15 @@
     cache.listed(&Listing { objects: vec![stored("b", 5), stored("d", 32)], revision: 40 });
     for between in [11, 29, 33, 39] {
         let news = cache.since(between).expect("news");
-        assert!(news.whole, "{between}");
+        assert!(news.full, "{between}");
         assert_eq!(news.objects.len(), 2);
     }
     for reached in [10, 30, 32] {
-        assert!(!cache.since(reached).is_some_and(|news| news.whole), "{reached}");
+        assert!(!cache.since(reached).is_some_and(|news| news.full), "{reached}");
     }
     // A store that goes back tells everything anew.
     cache.listed(&Listing { objects: vec![stored("b", 5)], revision: 20 });
-    assert!(cache.since(10).expect("news").whole);
+    assert!(cache.since(10).expect("news").full);
 }
 
 #[test]
@@ -148,7 +148,7 @@
             cache.changed(&removed(&format!("i-{at}"), targets + 1 + at));
         }
         let news = cache.since(targets).expect("news");
-        assert!(!news.whole, "{targets} targets");
+        assert!(!news.full, "{targets} targets");
         assert_eq!(news.removed.len() as u64, leave);
         assert!(news.objects.is_empty());
     }
--- a/crates/node/tests/metrics.rs
+++ b/crates/node/tests/metrics.rs
@@ -10,8 +10,8 @@
     metrics.store_call(Kind::Configuration, StoreCall::Watch);
     metrics.store_call(Kind::Leases, StoreCall::Write);
     metrics.store_call(Kind::Configuration, StoreCall::Watch);
-    let config = Kind::Configuration.word();
-    let leases = Kind::Leases.word();
+    let config = Kind::Configuration.as_str();
+    let leases = Kind::Leases.as_str();
     let told = format!("watch {config} 2, write {leases} 1");
     assert_eq!(metrics.take_store_calls(), Some((3, told)));
     assert_eq!(metrics.take_store_calls(), None, "each call is told once");
--- a/crates/placement/src/chooser.rs
+++ b/crates/placement/src/chooser.rs
@@ -187,7 +187,7 @@
         // A version seen a moment ago is believed; later the home is asked anew.
         let unfit = |(version, seen_at): (ModelVersion, Moment)| {
             now.since(seen_at) < VERSION_TRUST
-                && window.is_some_and(|window| !window.holds(version))
+                && window.is_some_and(|window| !window.contains(version))
         };
         if view.version.is_some_and(unfit) {
             return false;
--- a/crates/placement/src/queue.rs
+++ b/crates/placement/src/queue.rs
@@ -38,9 +38,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
     /// Begin now.
-    Go(TicketId),
+    Admitted(TicketId),
     /// Wait for a [`QueueEvent`].
-    Wait(TicketId),
+    Queued(TicketId),
     /// It will not run here.
     Refused(Refusal),
 }
@@ -117,7 +117,7 @@
     }
 
     /// Takes a wish to use the target.
-    pub fn ask(&mut self, now: Moment, ask: AdmissionRequest) -> Admission {
+    pub fn request_admission(&mut self, now: Moment, ask: AdmissionRequest) -> Admission {
         if now >= ask.deadline {
             return Admission::Refused(Refusal::not_run(NotRun::Expired, Duration::ZERO));
         }
@@ -128,7 +128,7 @@
         if self.can_start(&ask) && self.waiting.is_empty() {
             self.next_ticket += 1;
             self.start(ticket, &ask);
-            return Admission::Go(ticket);
+            return Admission::Admitted(ticket);
         }
         if self.is_full_for(ask.trainer.as_ref()) {
             return Admission::Refused(Refusal::not_run(NotRun::Overloaded, FULL_RETRY));
@@ -139,7 +139,7 @@
             self.shares.join(trainer, present.chain(self.running.values().flatten()));
         }
         self.waiting.push_back(Waiting { ticket, ask });
-        Admission::Wait(ticket)
+        Admission::Queued(ticket)
     }
 
     /// Notes that an admitted ask ended, having used `tokens`.
@@ -189,13 +189,13 @@
     }
 
     /// Notes that an order went out.
-    pub const fn ordered(&mut self, version: ModelVersion, deadline: Moment) {
-        self.replica.ordered(version, deadline);
+    pub const fn order_sent(&mut self, version: ModelVersion, deadline: Moment) {
+        self.replica.order_sent(version, deadline);
     }
 
     /// Takes the outcome of the order last sent.
-    pub fn order_ended(&mut self, now: Moment, version: ModelVersion, outcome: OrderOutcome) {
-        self.replica.order_ended(now, version, outcome);
+    pub fn order_completed(&mut self, now: Moment, version: ModelVersion, outcome: OrderOutcome) {
+        self.replica.order_completed(now, version, outcome);
     }
 
     /// Notes a stamp that contradicts the version believed in.
@@ -223,7 +223,7 @@
             ReplicaStatus::InDoubt => (NotRun::InDoubt, DOUBT_RETRY),
             ReplicaStatus::Serving(held) | ReplicaStatus::Swapping(held) => {
                 let window = ask.window?;
-                if window.holds(held) {
+                if window.contains(held) {
                     return None;
                 }
                 let too_old = window.is_too_old(held);
@@ -241,7 +241,7 @@
             return false;
         }
         match self.replica.status() {
-            ReplicaStatus::Serving(held) => ask.window.is_none_or(|window| window.holds(held)),
+            ReplicaStatus::Serving(held) => ask.window.is_none_or(|window| window.contains(held)),
             // Plain services and scorers need no reading of a version first.
             ReplicaStatus::Unread => self.kind != TargetKind::Engine,
             _ => false,
--- a/crates/placement/src/replica.rs
+++ b/crates/placement/src/replica.rs
@@ -124,14 +124,14 @@
     }
 
     /// Notes that an order went out; it may take effect until `deadline`.
-    pub const fn ordered(&mut self, version: ModelVersion, deadline: Moment) {
+    pub const fn order_sent(&mut self, version: ModelVersion, deadline: Moment) {
         self.trust_from = deadline;
         self.ordered = Some(version);
         self.status = ReplicaStatus::Swapping(version);
     }
 
     /// Takes the outcome of the order last sent.
-    pub fn order_ended(&mut self, now: Moment, version: ModelVersion, outcome: OrderOutcome) {
+    pub fn order_completed(&mut self, now: Moment, version: ModelVersion, outcome: OrderOutcome) {
         if self.status != ReplicaStatus::Swapping(version) {
             return;
         }
--- a/crates/placement/tests/admission.rs
+++ b/crates/placement/tests/admission.rs
@@ -41,7 +41,7 @@
 
 fn go(admission: Admission) -> TicketId {
     match admission {
-        Admission::Go(ticket) => ticket,
+        Admission::Admitted(ticket) => ticket,
         other => panic!("not admitted: {other:?}"),
     }
 }
@@ -56,7 +56,9 @@
 #[test]
 fn an_unread_engine_gets_no_work() {
     let mut queue = TargetQueue::new(TargetKind::Engine, 4);
-    let Admission::Wait(ticket) = queue.ask(at(0), ask("a", 1)) else { panic!("not queued") };
+    let Admission::Queued(ticket) = queue.request_admission(at(0), ask("a", 1)) else {
+        panic!("not queued")
+    };
     assert!(queue.poll(at(1)).is_empty());
     queue.read(at(1), &reading(1, 1));
     assert_eq!(queue.poll(at(2)), [QueueEvent::Go(ticket)]);
@@ -65,21 +67,21 @@
 #[test]
 fn a_replica_in_doubt_gets_no_work_until_a_late_enough_reading() {
     let mut queue = engine(4);
-    queue.ordered(version(2), at(10_000));
-    queue.order_ended(at(100), version(2), OrderOutcome::Unknown);
-    assert_eq!(reason(queue.ask(at(101), ask("a", 1))), Some(NotRun::InDoubt));
+    queue.order_sent(version(2), at(10_000));
+    queue.order_completed(at(100), version(2), OrderOutcome::Unknown);
+    assert_eq!(reason(queue.request_admission(at(101), ask("a", 1))), Some(NotRun::InDoubt));
     // The order might still take effect, so the old version proves nothing yet.
     queue.read(at(200), &reading(1, 1));
-    assert_eq!(reason(queue.ask(at(201), ask("a", 1))), Some(NotRun::InDoubt));
+    assert_eq!(reason(queue.request_admission(at(201), ask("a", 1))), Some(NotRun::InDoubt));
     queue.read(at(10_000), &reading(1, 1));
-    go(queue.ask(at(10_001), ask("a", 1)));
+    go(queue.request_admission(at(10_001), ask("a", 1)));
 }
 
 #[test]
 fn doubt_ends_at_once_when_the_ordered_version_is_read() {
     let mut queue = engine(4);
-    queue.ordered(version(2), at(10_000));
-    queue.order_ended(at(100), version(2), OrderOutcome::Unknown);
+    queue.order_sent(version(2), at(10_000));
+    queue.order_completed(at(100), version(2), OrderOutcome::Unknown);
     queue.read(at(200), &reading(1, 2));
     assert_eq!(queue.replica().status(), ReplicaStatus::Serving(version(2)));
 }
@@ -87,29 +89,32 @@
 #[test]
 fn a_swap_that_failed_partway_and_still_loads_stays_in_doubt() {
     let mut queue = engine(4);
-    queue.ordered(version(2), at(1_000));
-    queue.order_ended(at(100), version(2), OrderOutcome::Unknown);
+    queue.order_sent(version(2), at(1_000));
+    queue.order_completed(at(100), version(2), OrderOutcome::Unknown);
     queue.read(at(2_000), &ReplicaReading { loading: true, ..reading(1, 1) });
-    assert_eq!(reason(queue.ask(at(2_001), ask("a", 1))), Some(NotRun::InDoubt));
+    assert_eq!(reason(queue.request_admission(at(2_001), ask("a", 1))), Some(NotRun::InDoubt));
 }
 
 #[test]
 fn a_stamp_that_contradicts_puts_the_replica_in_doubt() {
     let mut queue = engine(4);
     queue.contradicted(at(50));
-    assert_eq!(reason(queue.ask(at(51), ask("a", 1))), Some(NotRun::InDoubt));
+    assert_eq!(reason(queue.request_admission(at(51), ask("a", 1))), Some(NotRun::InDoubt));
     // A reading that began before the contradiction proves nothing.
     queue.read(at(49), &reading(1, 1));
     assert_eq!(queue.replica().status(), ReplicaStatus::InDoubt);
     queue.read(at(60), &reading(1, 1));
-    go(queue.ask(at(61), ask("a", 1)));
+    go(queue.request_admission(at(61), ask("a", 1)));
 }
 
 #[test]
 fn an_engine_back_with_another_version_is_judged_by_it() {
     let mut queue = engine(4);
     queue.read(at(10), &reading(2, 7));
-    assert_eq!(reason(queue.ask(at(11), ask("a", 1))), Some(NotRun::NotNamed { held: version(7) }));
+    assert_eq!(
+        reason(queue.request_admission(at(11), ask("a", 1))),
+        Some(NotRun::NotNamed { held: version(7) })
+    );
     // A late reading of its earlier life changes nothing.
     queue.read(at(9), &reading(1, 1));
     assert_eq!(queue.replica().status(), ReplicaStatus::Serving(version(7)));
@@ -118,15 +123,20 @@
 #[test]
 fn an_engine_past_the_staleness_bound_gets_no_work() {
     let mut queue = engine(4);
-    assert_eq!(reason(queue.ask(at(1), ask("a", 3))), Some(NotRun::TooOld { held: version(1) }));
-    go(queue.ask(at(1), ask("a", 2)));
+    assert_eq!(
+        reason(queue.request_admission(at(1), ask("a", 3))),
+        Some(NotRun::TooOld { held: version(1) })
+    );
+    go(queue.request_admission(at(1), ask("a", 2)));
 }
 
 #[test]
 fn waiting_work_is_refused_when_the_target_turns_out_unfit() {
     let mut queue = engine(1);
-    go(queue.ask(at(0), ask("a", 1)));
-    let Admission::Wait(ticket) = queue.ask(at(0), ask("b", 1)) else { panic!("not queued") };
+    go(queue.request_admission(at(0), ask("a", 1)));
+    let Admission::Queued(ticket) = queue.request_admission(at(0), ask("b", 1)) else {
+        panic!("not queued")
+    };
     queue.mark_leaving();
     let events = queue.poll(at(1));
     assert!(
@@ -142,17 +152,19 @@
     // A list that lags says that it stays, and an older reading comes late.
     queue.clear_leaving();
     queue.read(at(2), &reading(1, 1));
-    assert_eq!(reason(queue.ask(at(3), ask("a", 1))), Some(NotRun::Leaving));
+    assert_eq!(reason(queue.request_admission(at(3), ask("a", 1))), Some(NotRun::Leaving));
     queue.read(at(4), &reading(2, 1));
-    go(queue.ask(at(5), ask("a", 1)));
+    go(queue.request_admission(at(5), ask("a", 1)));
 }
 
 #[test]
 fn the_limit_is_exact() {
     let mut queue = engine(2);
-    let first = go(queue.ask(at(0), ask("a", 1)));
-    go(queue.ask(at(0), ask("a", 1)));
-    let Admission::Wait(third) = queue.ask(at(0), ask("a", 1)) else { panic!("not queued") };
+    let first = go(queue.request_admission(at(0), ask("a", 1)));
+    go(queue.request_admission(at(0), ask("a", 1)));
+    let Admission::Queued(third) = queue.request_admission(at(0), ask("a", 1)) else {
+        panic!("not queued")
+    };
     assert!(queue.poll(at(1)).is_empty());
     queue.ended(first, TokenCount::new(10));
     assert_eq!(queue.poll(at(2)), [QueueEvent::Go(third)]);
@@ -162,8 +174,9 @@
 #[test]
 fn a_full_queue_refuses_at_once_and_says_when_to_come_back() {
     let mut queue = engine(1);
-    go(queue.ask(at(0), ask("a", 1)));
-    let admissions: Vec<Admission> = (0..3).map(|_| queue.ask(at(0), ask("a", 1))).collect();
+    go(queue.request_admission(at(0), ask("a", 1)));
+    let admissions: Vec<Admission> =
+        (0..3).map(|_| queue.request_admission(at(0), ask("a", 1))).collect();
     let Some(Admission::Refused(Refusal::NotRun { reason, retry_after })) = admissions.last()
     else {
         panic!("not refused: {admissions:?}");
@@ -175,23 +188,25 @@
 #[test]
 fn work_past_its_deadline_is_refused_as_not_run() {
     let mut queue = engine(1);
-    go(queue.ask(at(0), ask("a", 1)));
+    go(queue.request_admission(at(0), ask("a", 1)));
     let late = AdmissionRequest { deadline: at(5), ..ask("a", 1) };
-    let Admission::Wait(ticket) = queue.ask(at(0), late.clone()) else { panic!("not queued") };
+    let Admission::Queued(ticket) = queue.request_admission(at(0), late.clone()) else {
+        panic!("not queued")
+    };
     let expired = Refusal::not_run(NotRun::Expired, Duration::ZERO);
     assert_eq!(queue.poll(at(5)), [QueueEvent::Refused(ticket, expired)]);
-    assert_eq!(reason(queue.ask(at(6), late)), Some(NotRun::Expired));
+    assert_eq!(reason(queue.request_admission(at(6), late)), Some(NotRun::Expired));
 }
 
 #[test]
 fn no_trainer_starves_behind_another_with_longer_work() {
     let mut queue = engine(1);
     let mut served = [0_u32; 2];
-    let mut running = go(queue.ask(at(0), ask("long", 1)));
+    let mut running = go(queue.request_admission(at(0), ask("long", 1)));
     let mut holder = 0;
     for round in 1..200 {
         for trainer in ["long", "short"] {
-            let _refused_when_full = queue.ask(at(round), ask(trainer, 1));
+            let _refused_when_full = queue.request_admission(at(round), ask(trainer, 1));
         }
         let tokens = if holder == 0 { 400 } else { 40 };
         served[holder] += tokens;
--- a/crates/routing/src/board.rs
+++ b/crates/routing/src/board.rs
@@ -168,7 +168,7 @@
     }
 
     /// Requests of this box that run at a target.
-    pub fn mine(&self, instance: &InstanceId) -> u32 {
+    pub fn local_in_flight(&self, instance: &InstanceId) -> u32 {
         self.views.get(instance).map_or(0, |view| view.mine)
     }
 
@@ -220,7 +220,7 @@
     }
 
     /// Why [`Self::choose`] has found none: what holds up the target that lacks the least.
-    pub fn shortage(
+    pub fn no_target_reason(
         &self,
         now: Moment,
         service: &ServiceName,
@@ -366,7 +366,7 @@
 
     /// Takes a version that an answer or a report of the target told; versions only rise
     /// within one life.
-    pub fn told_version(&mut self, instance: &InstanceId, model: &ModelName, told: ModelVersion) {
+    pub fn record_version(&mut self, instance: &InstanceId, model: &ModelName, told: ModelVersion) {
         let Some(view) = self.views.get_mut(instance) else { return };
         let held = [HeldModel { model: model.clone(), version: told }];
         let newer = merge_models(&view.record.models, &held);
--- a/crates/routing/src/target.rs
+++ b/crates/routing/src/target.rs
@@ -46,14 +46,14 @@
 
 impl TargetRecord {
     /// This life of it.
-    pub fn life(&self) -> TargetIncarnation {
+    pub fn incarnation(&self) -> TargetIncarnation {
         TargetIncarnation { instance: self.instance.clone(), born: self.born }
     }
 }
 
 impl ChosenTarget {
     /// The life that was chosen.
-    pub fn life(&self) -> TargetIncarnation {
+    pub fn incarnation(&self) -> TargetIncarnation {
         TargetIncarnation { instance: self.instance.clone(), born: self.born }
     }
 }
--- a/crates/routing/tests/large.rs
+++ b/crates/routing/tests/large.rs
@@ -112,14 +112,17 @@
         assert!((0..3).any(|at| slot.instance == instance(at)), "{}", slot.instance);
     }
     assert_eq!(board.choose(NOW, &service(), &need, &mut rng), None);
-    assert_eq!(board.shortage(NOW, &service(), &need, &mut rng), NoTargetReason::Full);
+    assert_eq!(board.no_target_reason(NOW, &service(), &need, &mut rng), NoTargetReason::Full);
     // One more has loaded them, as an answer tells.
-    board.told_version(&instance(4_000), &model, floor);
+    board.record_version(&instance(4_000), &model, floor);
     let slot = board.choose(NOW, &service(), &need, &mut rng).expect("a free slot");
     assert_eq!(slot.instance, instance(4_000));
     board.remove(&instance(4_000));
     let newer = TargetRequirements { model: Some((&model, ModelVersion::new(3))), ..need };
-    assert_eq!(board.shortage(NOW, &service(), &newer, &mut rng), NoTargetReason::OldVersion);
+    assert_eq!(
+        board.no_target_reason(NOW, &service(), &newer, &mut rng),
+        NoTargetReason::OldVersion
+    );
 }
 
 /// The best of those that are looked at is hardly worse than the best of all.
@@ -135,7 +138,7 @@
         let slot = slot.expect("a target");
         assert!((1_000..2_000).any(|at| slot.instance == instance(at)), "a busy one was chosen");
     }
-    let most = (1_000..2_000).map(|at| board.mine(&instance(at))).max();
+    let most = (1_000..2_000).map(|at| board.local_in_flight(&instance(at))).max();
     assert!(most <= Some(3), "{most:?} requests at one of a thousand targets that are free");
 }
 
--- a/crates/routing/tests/places.rs
+++ b/crates/routing/tests/places.rs
@@ -69,7 +69,7 @@
 
 fn shortage(board: &TargetTable, now: Moment) -> NoTargetReason {
     let need = TargetRequirements { sender: Some(sender(0, 1)), ..TargetRequirements::default() };
-    board.shortage(now, &service(), &need, &mut ChaCha8Rng::seed_from_u64(1))
+    board.no_target_reason(now, &service(), &need, &mut ChaCha8Rng::seed_from_u64(1))
 }
 
 /// Work that waits flows to whatever has free slots: engines that come back together got all of it in their first
--- a/crates/routing/tests/routing.rs
+++ b/crates/routing/tests/routing.rs
@@ -123,7 +123,7 @@
         ..TargetRequirements::default()
     };
     assert_eq!(choose(&mut board, NOW, &need(4)), None);
-    board.told_version(&instance("old"), &name, ModelVersion::new(4));
+    board.record_version(&instance("old"), &name, ModelVersion::new(4));
     // The platform's list lags behind what an answer told.
     board.put(NOW, target("old", "home", 3));
     assert_eq!(choose(&mut board, NOW, &need(4)).as_deref(), Some("old"));
@@ -238,7 +238,7 @@
     };
     let mut board = board(&[target("old", "home", 2), target("new", "home", 3)]);
     let told = |board: &TargetTable| {
-        board.shortage(now, &service("a"), &need, &mut ChaCha8Rng::seed_from_u64(1))
+        board.no_target_reason(now, &service("a"), &need, &mut ChaCha8Rng::seed_from_u64(1))
     };
     for _ in 0..4 {
         assert_eq!(choose(&mut board, now, &need), Some("new".to_owned()));
@@ -265,7 +265,7 @@
     let born = StartTime::new(7);
     board.put(NOW, TargetRecord { born, ..target("i-1", "home", 1) });
     assert!(board.stays(&instance("i-1")));
-    assert_eq!(board.mine(&instance("i-1")), 0);
+    assert_eq!(board.local_in_flight(&instance("i-1")), 0);
     let record = board.record(&instance("i-1")).expect("listed");
     assert_eq!(record.models[0].version, ModelVersion::new(1), "it knows nothing of before");
     let slot = board.choose(now, &service("a"), &need, &mut rng).expect("a target");
--- a/crates/sessions/src/engine.rs
+++ b/crates/sessions/src/engine.rs
@@ -240,7 +240,7 @@
         let slot = self.placement.assignment.slot;
         let finished = self.trail.finish(TokenCount::new(self.tokens), self.digest.digest());
         let end = match finished {
-            Ok((spans, text)) if !self.broken => AttemptOutcome::Made(Sample {
+            Ok((spans, text)) if !self.broken => AttemptOutcome::Completed(Sample {
                 slot,
                 spans,
                 text,
--- a/crates/sessions/src/trainer.rs
+++ b/crates/sessions/src/trainer.rs
@@ -99,7 +99,7 @@
             }
             Reply::Pulled(Ok((out, state))) => {
                 let samples = out.samples.iter().map(|sample| (**sample).clone()).collect();
-                match self.intake.take(state.token, state.rule, samples) {
+                match self.intake.accept(state.token, state.rule, samples) {
                     Ok(intake) => Brought::Samples(intake),
                     Err(_older_token) => Brought::Nothing,
                 }
--- a/crates/sessions/src/world/boxes.rs
+++ b/crates/sessions/src/world/boxes.rs
@@ -118,7 +118,7 @@
         let Some(keeper) = &mut site.keeper else { return };
         let actions = keeper.poll(now);
         let wake = keeper.next_at(now);
-        let acting = keeper.acting();
+        let acting = keeper.acting_token();
         if acting != site.acting {
             site.acting = acting;
             let said = match acting {
--- a/crates/sessions/src/world/faults.rs
+++ b/crates/sessions/src/world/faults.rs
@@ -70,7 +70,7 @@
         let successor = (index + 1) % self.boxes.len();
         let life = self.boxes[index].life;
         if let Some(keeper) = &mut self.boxes[index].keeper
-            && let Some(token) = keeper.acting()
+            && let Some(token) = keeper.acting_token()
         {
             keeper.prepare_hand_over();
             let (snapshots, release) = keeper.hand_over(now);
--- a/crates/sessions/src/world/swaps.rs
+++ b/crates/sessions/src/world/swaps.rs
@@ -36,7 +36,7 @@
     pub(super) fn order(&mut self, now: Moment, order: SwapOrder) {
         self.say(now, format!("{} ordered to load version {}", order.target, order.version));
         let engine = self.engine(&order.target);
-        engine.queue.ordered(order.version, now + order.life);
+        engine.queue.order_sent(order.version, now + order.life);
         if engine.refuse_orders > 0 {
             engine.refuse_orders -= 1;
             self.send(now, Event::OrderEnded(order.target, Some(false)));
@@ -64,8 +64,8 @@
             None => OrderOutcome::Unknown,
         };
         self.say(now, format!("{id}'s order ended: {ended:?}"));
-        self.engine(id).queue.order_ended(now, version, ended);
-        self.conductor.ordered(now, id, outcome);
+        self.engine(id).queue.order_completed(now, version, ended);
+        self.conductor.order_completed(now, id, outcome);
         self.settle(now, id);
     }
 
--- a/crates/sessions/src/world/targets.rs
+++ b/crates/sessions/src/world/targets.rs
@@ -38,12 +38,12 @@
         };
         let id = placement.target.clone();
         let engine = self.engine(&id);
-        match engine.queue.ask(now, ask) {
-            Admission::Go(ticket) => {
+        match engine.queue.request_admission(now, ask) {
+            Admission::Admitted(ticket) => {
                 engine.start(now, ticket, run, from, placement);
                 self.watch_leaving(now, &id);
             }
-            Admission::Wait(ticket) => engine.wait(ticket, run, from, placement),
+            Admission::Queued(ticket) => engine.wait(ticket, run, from, placement),
             Admission::Refused(refusal) => self.refused(now, from, placement, refusal),
         }
         self.settle(now, &id);
@@ -113,8 +113,11 @@
     pub(super) fn ended(&mut self, now: Moment, id: &TargetId, ended: Vec<EndedRun>) {
         let hint = self.engine(id).hint();
         for EndedRun { from, placement, end } in ended {
-            let how =
-                if matches!(end, AttemptOutcome::Made(_)) { "streamed whole" } else { "broke off" };
+            let how = if matches!(end, AttemptOutcome::Completed(_)) {
+                "streamed whole"
+            } else {
+                "broke off"
+            };
             let slot = placement.assignment.slot;
             self.say(now, format!("slot {slot} {how} from {id}"));
             let event = Event::WorkEnds(from.0, from.1, placement, end, Some(hint));
--- a/crates/shards/src/account.rs
+++ b/crates/shards/src/account.rs
@@ -20,7 +20,7 @@
     let step = keeper.book().step(job);
     let (item, last) = account.last.clone().unwrap_or_default();
     let held = |hold: BlockReason| {
-        let found = account.holds.iter().find(|(other, _)| *other == hold);
+        let found = account.blocked.iter().find(|(other, _)| *other == hold);
         found.map_or(0, |(_, time)| whole_millis(*time))
     };
     log::info!(
--- a/crates/shards/src/accounts.rs
+++ b/crates/shards/src/accounts.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use ids::FencingToken;
-use platform::accounts::{AccountingClient, AccountingError, LeaseHolder};
+use platform::accounting::{AccountingClient, AccountingError, LeaseHolder};
 use tokio::time;
 
 use crate::claim::{DutyClaim, DutySubject, tend_claim};
--- a/crates/shards/src/claim.rs
+++ b/crates/shards/src/claim.rs
@@ -79,7 +79,7 @@
     /// A claim that has read nothing yet.
     pub fn new(ctx: &ShardContext, subject: DutySubject) -> Self {
         let me = &ctx.me;
-        let life = ctx.view.usage.life();
+        let life = ctx.view.usage.incarnation();
         let claim = LeaseClaim::new(me.box_id.clone(), life, me.address.clone(), TERM)
             .with_gap(ctx.settings.order_gap + GAP_SLACK);
         Self {
@@ -141,7 +141,7 @@
 fn stands_in(ctx: &ShardContext, claim: &DutyClaim) -> bool {
     let Some(shards) = ctx.view.shards() else { return false };
     let shard = shard_of(claim.subject.shard_name(), shards);
-    let duties = ctx.view.duties();
+    let duties = ctx.view.assignments();
     let Some(sighting) = duties.plan(shard) else { return false };
     let Some(rank) = sighting.plan.rank(&ctx.me.box_id).filter(|rank| *rank > 0) else {
         return false;
@@ -168,7 +168,7 @@
             return;
         }
         if let Some(note) = note {
-            claim.note(note);
+            claim.record_report(note);
         }
         claim.poll(now)
     };
@@ -229,7 +229,7 @@
             let outcome = match written {
                 Ok(revision) => WriteOutcome::Applied(ObjectVersion::new(revision)),
                 Err(StoreError::Conflict(_)) => WriteOutcome::Conflict,
-                Err(StoreError::NotDone(_)) => WriteOutcome::NotApplied,
+                Err(StoreError::NotApplied(_)) => WriteOutcome::NotApplied,
                 Err(_) => WriteOutcome::Unknown,
             };
             let now = ctx.view.now();
--- a/crates/shards/src/conductor.rs
+++ b/crates/shards/src/conductor.rs
@@ -68,7 +68,7 @@
     let models: Vec<ModelName> = named.iter().map(|(model, _)| model.clone()).collect();
     let work = ctx.work.of(ctx.view.now(), &models);
     let mut followers = lock(&orders.followers);
-    followers.look(&ctx.view.board(), &orders.service, &models, &work);
+    followers.look(&ctx.view.target_table(), &orders.service, &models, &work);
     let most = loads_at_once(followers.engines(), ctx.settings.load_parts);
     let room = most.saturating_sub(lock(&orders.ordered).len());
     if room == 0 {
@@ -108,7 +108,7 @@
     most: usize,
 ) -> Vec<OrderSpec> {
     let mode = swap_mode(ctx, &orders.service);
-    let board = ctx.view.board();
+    let board = ctx.view.target_table();
     let ordered = lock(&orders.ordered);
     let mut engines = Vec::with_capacity(followers.len());
     let mut states = Vec::with_capacity(followers.len());
@@ -120,7 +120,7 @@
             model: *position,
             behind: named.get().saturating_sub(held.version.get()),
             ordered: ordered.contains(instance),
-            running: board.mine(instance),
+            running: board.local_in_flight(instance),
         });
         engines.push(record);
     }
--- a/crates/shards/src/context.rs
+++ b/crates/shards/src/context.rs
@@ -94,7 +94,7 @@
 
     /// Whether this box is one of those that beat with each other.
     pub fn is_at_work(&self) -> bool {
-        self.view.duties().at_work().iter().any(|copy| copy.box_id == self.me.box_id)
+        self.view.assignments().active_boxes().iter().any(|copy| copy.box_id == self.me.box_id)
     }
 
     /// Leases that this box holds, as beats tell them.
@@ -116,7 +116,7 @@
     /// The token of a shard's plan that names this box, if its disk has no copy of it.
     pub fn lost_copy(&self, shard: ShardIndex) -> Option<FencingToken> {
         let epoch = {
-            let duties = self.view.duties();
+            let duties = self.view.assignments();
             let plan = &duties.plan(shard)?.plan;
             plan.rank(&self.me.box_id)?;
             plan.epoch.clone()
@@ -128,7 +128,7 @@
     pub fn choose_copies(&self, shard: ShardIndex) -> Option<Vec<StorageBox>> {
         let now = self.view.now();
         let retiring = self.retiring().clone();
-        let duties = self.view.duties();
+        let duties = self.view.assignments();
         let boxes = duties.boxes().filter(|copy| {
             copy.box_id != self.me.box_id
                 && !retiring.contains(&copy.box_id)
--- a/crates/shards/src/dispatch.rs
+++ b/crates/shards/src/dispatch.rs
@@ -105,7 +105,7 @@
                         () = token.cancelled() => cancelled(),
                     };
                     drop(slot);
-                    keeper.log(spec.rest(&run).into_iter().collect());
+                    keeper.log(spec.unlogged_progress(&run).into_iter().collect());
                     let whole = keeper.book().run_ended(ctx.view.now(), &spec, &run);
                     if matches!(run.outcome, RunOutcome::Failed | RunOutcome::Impossible) {
                         give_up(&ctx, &keeper);
@@ -134,7 +134,7 @@
     shard: ShardIndex,
     spec: &RunSpec,
 ) -> Result<NextStep, BlockReason> {
-    if spec.whole {
+    if spec.complete {
         return Ok(NextStep::Reward);
     }
     if !ctx.view.pool.has_capacity() {
@@ -142,10 +142,10 @@
     }
     let service = item_service(ctx, spec).ok_or(BlockReason::NoRoute)?;
     let work = spec_work(spec);
-    let WorkAdmission::Open(barred) = ctx.view.gate(work, &service, true) else {
+    let WorkAdmission::Open(barred) = ctx.view.admit_work(work, &service, true) else {
         return Err(BlockReason::Quarantined);
     };
-    let company = ctx.view.suspects().company(work);
+    let anti_affinity = ctx.view.suspects().anti_affinity(work);
     let model: Option<ModelName> = spec.job.model.parse().ok();
     let floor = ModelVersion::new(spec.job.min_version);
     let need = TargetRequirements {
@@ -157,9 +157,9 @@
     };
     let now = ctx.view.now();
     let mut rng = rand::rng();
-    let mut board = ctx.view.board();
+    let mut board = ctx.view.target_table();
     // Apart from other work under suspicion where that is possible.
-    let apart = [barred.as_slice(), company.places.as_slice()].concat();
+    let apart = [barred.as_slice(), anti_affinity.targets.as_slice()].concat();
     let apart = TargetRequirements { avoid: &apart, ..need };
     let slot = board.choose(now, &service, &apart, &mut rng);
     let slot = slot.or_else(|| board.choose(now, &service, &need, &mut rng));
@@ -167,7 +167,7 @@
         drop(board);
         return Ok(NextStep::Run(SlotGuard::new(&ctx.view, work, slot)));
     }
-    Err(match board.shortage(now, &service, &need, &mut rng) {
+    Err(match board.no_target_reason(now, &service, &need, &mut rng) {
         NoTargetReason::OldVersion => BlockReason::OldWeights,
         NoTargetReason::Loading => BlockReason::Loading,
         NoTargetReason::BackedOff => BlockReason::BackedOff,
--- a/crates/shards/src/forming.rs
+++ b/crates/shards/src/forming.rs
@@ -5,12 +5,12 @@
 
 use ids::ShardIndex;
 use joblog::{
-    EpochId, EpochTakeover, PlanWriteOutcome, ReadPlan, ShardPlan, StorageBox, TakeoverDecision,
-    TakeoverError, TakeoverPreference, TakeoverStep, TakeoverView, decide_takeover,
+    EpochId, EpochTakeover, PlanWriteOutcome, ShardPlan, StorageBox, TakeoverDecision,
+    TakeoverError, TakeoverPreference, TakeoverStep, TakeoverView, VersionedPlan, decide_takeover,
     rank_initial_servers,
 };
 use node::StoreCall;
-use node::duties::{AssignmentTable, ObservedPlan, shard_object};
+use node::assignments::{AssignmentTable, ObservedPlan, shard_object};
 use platform::{Kind, StoreError};
 use rand::Rng;
 use tokio::sync::mpsc;
@@ -38,7 +38,7 @@
     let mut changes = keeper.changes();
     loop {
         drop_superseded(&ctx, &keeper);
-        if ctx.view.duties().is_read() && wants_shard(&ctx, &keeper, &mut no_plan_since) {
+        if ctx.view.assignments().is_read() && wants_shard(&ctx, &keeper, &mut no_plan_since) {
             match form_epoch(&ctx, &keeper).await {
                 Ok((log, places)) => {
                     serve_epoch(&ctx, &keeper, log, &places).await;
@@ -62,7 +62,7 @@
 /// Forgets the jobs of a shard that another box serves under a later plan.
 fn drop_superseded(ctx: &ShardContext, keeper: &ShardKeeper) {
     let Some(held) = keeper.book_epoch() else { return };
-    let superseded = ctx.view.duties().plan(keeper.shard()).is_some_and(|sighting| {
+    let superseded = ctx.view.assignments().plan(keeper.shard()).is_some_and(|sighting| {
         let plan = &sighting.plan;
         plan.epoch != held
             && plan.epoch.token > held.token
@@ -81,7 +81,7 @@
 ) -> bool {
     let shard = keeper.shard();
     let now = ctx.view.now();
-    let duties = ctx.view.duties();
+    let duties = ctx.view.assignments();
     let sighting = duties.plan(shard);
     // Two boxes that make copies at once only slow each other.
     if sighting.is_some_and(|sighting| box_before_forms(ctx, shard, &sighting.plan))
@@ -108,20 +108,20 @@
         server_restarts: server.is_some_and(|server| ctx.peers.restarts(&server.box_id)),
         first_rank: if plan.is_none() { first_rank(ctx, shard, &duties) } else { 0 },
         no_plan_for,
-        intent: if keeper.take_asked() {
-            TakeoverPreference::Asked
+        preference: if keeper.take_asked() {
+            TakeoverPreference::Requested
         } else if ctx.is_leaving() {
-            TakeoverPreference::Leaves
+            TakeoverPreference::Avoid
         } else {
-            TakeoverPreference::Stays
+            TakeoverPreference::Neutral
         },
     };
-    decide_takeover(&view) == TakeoverDecision::Take
+    decide_takeover(&view) == TakeoverDecision::TakeOver
 }
 
 /// Place of this box among those that could begin the shard.
 fn first_rank(ctx: &ShardContext, shard: ShardIndex, duties: &AssignmentTable) -> usize {
-    let boxes: Vec<StorageBox> = duties.at_work().into_iter().cloned().collect();
+    let boxes: Vec<StorageBox> = duties.active_boxes().into_iter().cloned().collect();
     let ranked = rank_initial_servers(shard, &boxes);
     ranked.iter().position(|copy| copy.box_id == ctx.me.box_id).unwrap_or(boxes.len())
 }
@@ -190,7 +190,7 @@
 async fn superseded(ctx: &ShardContext, shard: ShardIndex, epoch: &EpochId) {
     let mut changes = ctx.view.changes();
     loop {
-        let later = ctx.view.duties().plan(shard).is_some_and(|sighting| {
+        let later = ctx.view.assignments().plan(shard).is_some_and(|sighting| {
             sighting.plan.epoch != *epoch && sighting.plan.epoch.token >= epoch.token
         });
         if later || changes.changed().await.is_err() {
@@ -221,7 +221,7 @@
     let mut copy = None;
     loop {
         if former.needs_partners() {
-            former.partners(ctx.choose_copies(shard));
+            former.set_partners(ctx.choose_copies(shard));
         }
         match former.step() {
             TakeoverStep::ReadPlan => former.plan_read(read_plan(ctx, shard).await),
@@ -237,14 +237,14 @@
                 keeper.set_forming(true);
                 copy = copy_book(ctx, keeper, &epoch, &partners).await;
                 keeper.set_forming(false);
-                former.copied(copy.is_some());
+                former.copies_written(copy.is_some());
             }
             TakeoverStep::WritePlan { base, plan } => {
                 let end = write_plan(ctx, shard, base, &plan).await;
                 if end == PlanWriteOutcome::NoAnswer {
                     time::sleep(RETRY_PAUSE).await;
                 }
-                former.written(end);
+                former.plan_written(end);
             }
             TakeoverStep::CheckPlan => {
                 let read = read_plan(ctx, shard).await;
@@ -255,7 +255,7 @@
             }
             TakeoverStep::Serve { revision, plan } => {
                 let (epoch, partners) = (plan.epoch.clone(), plan.copies[1..].to_vec());
-                note_plan(ctx, shard, ReadPlan { revision, plan });
+                note_plan(ctx, shard, VersionedPlan { revision, plan });
                 ctx.copies.clean(shard, epoch.clone()).await;
                 let places = copy.as_ref().map(|copy| copy.places.clone()).unwrap_or_default();
                 let log = EpochLog { epoch, file: copy.map(|copy| copy.file), partners };
@@ -266,15 +266,15 @@
     }
 }
 
-fn note_plan(ctx: &ShardContext, shard: ShardIndex, read: ReadPlan) {
+fn note_plan(ctx: &ShardContext, shard: ShardIndex, read: VersionedPlan) {
     let seen_at = ctx.view.now();
     let sighting = ObservedPlan { revision: read.revision, plan: read.plan, seen_at };
-    ctx.view.duties().put_plan(shard, sighting);
+    ctx.view.assignments().put_plan(shard, sighting);
 }
 
-async fn read_plan(ctx: &ShardContext, shard: ShardIndex) -> Result<Option<ReadPlan>, ()> {
-    ctx.view.metrics.store_call(Kind::Duties, StoreCall::Read);
-    let stored = ctx.view.store.get(Kind::Duties, &shard_object(shard)).await;
+async fn read_plan(ctx: &ShardContext, shard: ShardIndex) -> Result<Option<VersionedPlan>, ()> {
+    ctx.view.metrics.store_call(Kind::ClusterState, StoreCall::Read);
+    let stored = ctx.view.store.get(Kind::ClusterState, &shard_object(shard)).await;
     let stored = stored.map_err(|error| {
         log::debug!(target: "shard", shard = shard.get(), error:% = error; "plan not read");
     })?;
@@ -282,7 +282,7 @@
     let plan = stored.parse().map_err(|error| {
         log::warn!(target: "shard", shard = shard.get(), error:% = error; "plan refused");
     })?;
-    let read = ReadPlan { revision: stored.revision, plan };
+    let read = VersionedPlan { revision: stored.revision, plan };
     note_plan(ctx, shard, read.clone());
     Ok(Some(read))
 }
@@ -316,10 +316,10 @@
     plan: &ShardPlan,
 ) -> PlanWriteOutcome {
     let name = shard_object(shard);
-    ctx.view.metrics.store_call(Kind::Duties, StoreCall::Write);
+    ctx.view.metrics.store_call(Kind::ClusterState, StoreCall::Write);
     let written = match base {
-        Some(base) => ctx.view.store.replace(Kind::Duties, &name, base, plan).await,
-        None => ctx.view.store.create(Kind::Duties, &name, plan).await,
+        Some(base) => ctx.view.store.replace(Kind::ClusterState, &name, base, plan).await,
+        None => ctx.view.store.create(Kind::ClusterState, &name, plan).await,
     };
     match written {
         Ok(revision) => PlanWriteOutcome::Done(revision),
--- a/crates/shards/src/handler.rs
+++ b/crates/shards/src/handler.rs
@@ -71,7 +71,7 @@
         }
     }
 
-    async fn beat(&self, _beat: BoxHeartbeat) {}
+    async fn handle_heartbeat(&self, _beat: BoxHeartbeat) {}
 }
 
 fn shard_item(body: shard_response::Body) -> ResponseItem {
@@ -120,7 +120,7 @@
 
 /// Whether a shard holds a job, by what is in memory.
 fn holds(keeper: &ShardKeeper, job: &str) -> bool {
-    job.parse().is_ok_and(|id| keeper.book().knows(&id))
+    job.parse().is_ok_and(|id| keeper.book().contains(&id))
 }
 
 /// The answer to a job that is held under `id`, perhaps as another customer's.
@@ -193,7 +193,7 @@
             return;
         }
         let view = &self.ctx.view;
-        hear_loads(&mut view.board(), view.now(), loads);
+        hear_loads(&mut view.target_table(), view.now(), loads);
         // Items may be waiting for these engines.
         view.wake();
     }
@@ -201,7 +201,7 @@
     async fn submit(&self, shard: u32, job: Job) -> Answered {
         let keeper = self.served(shard)?;
         let id: JobId = job.id.parse().map_err(|_fault| wrong("the job's id is not an id"))?;
-        if keeper.book().knows(&id) {
+        if keeper.book().contains(&id) {
             return accepted(keeper, &id, &job.customer, true);
         }
         let bytes: usize = job.items.iter().map(|item| item.body.len()).sum();
@@ -245,7 +245,7 @@
                 let answered = Self::page(keeper, page, on_disk).await;
                 if answered.is_ok() {
                     let until = read.from.saturating_add(whole);
-                    keeper.book().told(self.ctx.view.now(), &id, until);
+                    keeper.book().record_read(self.ctx.view.now(), &id, until);
                 }
                 return answered;
             }
@@ -309,7 +309,7 @@
         if !keeper.book().may_ask(&id, &end.customer) {
             return Err(self.surely_unknown(keeper).await);
         }
-        let account = keeper.book().account(self.ctx.view.now(), &id);
+        let account = keeper.book().finish_timings(self.ctx.view.now(), &id);
         let records = keeper.book().end(&id);
         keeper.cancel_runs(&id);
         if let Some(account) = account.filter(|_| records.is_some()) {
--- a/crates/shards/src/keepers.rs
+++ b/crates/shards/src/keepers.rs
@@ -6,7 +6,7 @@
 use ids::ShardIndex;
 use joblog::{ShardLayout, TAKEOVER_TIMEOUT};
 use node::StoreCall;
-use node::duties::{AssignmentSink, LAYOUT_NAME};
+use node::assignments::{AssignmentSink, LAYOUT_NAME};
 use node::follow::KindSink;
 use platform::{Changed, Kind, StoreError};
 use tokio::time::{self, Instant};
@@ -64,7 +64,7 @@
 
 /// The layout that this box should propose now, if it is its turn.
 fn proposal(ctx: &ShardContext, waited: Duration) -> Option<ShardLayout> {
-    let duties = ctx.view.duties();
+    let duties = ctx.view.assignments();
     if !duties.is_read() {
         return None;
     }
@@ -82,15 +82,15 @@
 
 /// Writes a layout unless there is one, and reads the one that is there.
 async fn propose(ctx: &ShardContext, layout: ShardLayout) {
-    ctx.view.metrics.store_call(Kind::Duties, StoreCall::Write);
-    let written = ctx.view.store.create(Kind::Duties, LAYOUT_NAME, &layout).await;
+    ctx.view.metrics.store_call(Kind::ClusterState, StoreCall::Write);
+    let written = ctx.view.store.create(Kind::ClusterState, LAYOUT_NAME, &layout).await;
     log::info!(
         target: "shard", shards = layout.shards,
         outcome = match &written { Ok(_) => "written", Err(StoreError::Conflict(_)) => "another is there", Err(_) => "unknown" };
         "layout proposed"
     );
-    ctx.view.metrics.store_call(Kind::Duties, StoreCall::Read);
-    match ctx.view.store.get(Kind::Duties, LAYOUT_NAME).await {
+    ctx.view.metrics.store_call(Kind::ClusterState, StoreCall::Read);
+    match ctx.view.store.get(Kind::ClusterState, LAYOUT_NAME).await {
         Ok(Some(stored)) => {
             AssignmentSink(Arc::clone(&ctx.view)).changed(&Changed::Put(stored));
             return;
--- a/crates/shards/src/loads.rs
+++ b/crates/shards/src/loads.rs
@@ -80,7 +80,7 @@
 
 /// The loads that a box is told: those that run no items need none.
 pub fn told_loads(ctx: &ShardContext, other: &BoxId) -> Vec<WeightLoad> {
-    let serves = ctx.view.duties().servers().any(|server| server.box_id == *other);
+    let serves = ctx.view.assignments().servers().any(|server| server.box_id == *other);
     if serves { ctx.loads.told(ctx.view.now()) } else { Vec::new() }
 }
 
@@ -89,7 +89,7 @@
     for load in loads {
         let (Ok(engine), Ok(model)) = (load.target.parse(), load.model.parse()) else { continue };
         if load.holds {
-            board.told_version(&engine, &model, ModelVersion::new(load.version));
+            board.record_version(&engine, &model, ModelVersion::new(load.version));
         }
         board.loading(&engine, if load.ended { now } else { now + LOAD_TRUST });
     }
@@ -101,7 +101,7 @@
         ctx.loads.changed.notified().await;
         time::sleep(GATHER).await;
         let others: HashMap<BoxId, StorageBox> = {
-            let duties = ctx.view.duties();
+            let duties = ctx.view.assignments();
             let others = duties.servers().filter(|server| server.box_id != ctx.me.box_id);
             others.map(|server| (server.box_id.clone(), server.clone())).collect()
         };
--- a/crates/shards/src/order.rs
+++ b/crates/shards/src/order.rs
@@ -61,12 +61,12 @@
     token: impl Fn() -> Option<FencingToken>,
 ) -> OrderEnd {
     let end = order_once(ctx, spec, token).await;
-    ctx.view.board().loading(&spec.target.instance, ctx.view.now());
+    ctx.view.target_table().loading(&spec.target.instance, ctx.view.now());
     ctx.loads.ended(ctx.view.now(), &spec.target.instance, end == OrderEnd::Holds);
     if end == OrderEnd::Holds {
-        ctx.view.board().told_version(&spec.target.instance, &spec.model, spec.version);
+        ctx.view.target_table().record_version(&spec.target.instance, &spec.model, spec.version);
     }
-    ctx.view.metrics.ended("order", word(end));
+    ctx.view.metrics.count_outcome("order", word(end));
     log::info!(
         target: "conductor", target:% = spec.target.instance, model:% = spec.model,
         weight_version = spec.version.get(), outcome = word(end);
@@ -113,7 +113,7 @@
         "order sent"
     );
     let body = Bytes::from(orders::write_order(&order));
-    ctx.view.board().loading(&spec.target.instance, ctx.view.now() + MOST_LOAD);
+    ctx.view.target_table().loading(&spec.target.instance, ctx.view.now() + MOST_LOAD);
     ctx.loads.begun(&spec.target.instance, &spec.model, spec.version);
     match ask(ctx, spec, Method::POST, orders::ORDER_PATH, body).await {
         Ok((StatusCode::ACCEPTED, _)) => {}
@@ -135,7 +135,7 @@
     time::sleep(LEAST_LOAD).await;
     while Instant::now() < until {
         // An answer to a sample may have told it already.
-        let told = ctx.view.board().record(&spec.target.instance).is_none_or(|record| {
+        let told = ctx.view.target_table().record(&spec.target.instance).is_none_or(|record| {
             record
                 .models
                 .iter()
@@ -192,7 +192,7 @@
     let asked = async {
         // These answers name no request, so none may ride behind another's.
         let answer = ctx.view.pool.send_on_new_connection(spec.target.address, request).await?;
-        answer.whole(MOST_ANSWER).await
+        answer.read_full(MOST_ANSWER).await
     };
     match time::timeout(ANSWER_TIME, asked).await {
         Ok(Ok(whole)) => Ok((whole.status, whole.body)),
--- a/crates/shards/src/peers.rs
+++ b/crates/shards/src/peers.rs
@@ -278,16 +278,16 @@
 
 /// The boxes that this one calls: those at work, if it is one of them itself.
 fn called_boxes(ctx: &ShardContext, now: Moment) -> Vec<StorageBox> {
-    let duties = ctx.view.duties();
+    let duties = ctx.view.assignments();
     if ctx.peers.calls_standby(now) {
         let others = duties.boxes().filter(|copy| copy.box_id != ctx.me.box_id);
         return others.cloned().collect();
     }
-    let at_work = duties.at_work();
-    if at_work.iter().all(|copy| copy.box_id != ctx.me.box_id) {
+    let active = duties.active_boxes();
+    if active.iter().all(|copy| copy.box_id != ctx.me.box_id) {
         return Vec::new();
     }
-    let others = at_work.into_iter().filter(|copy| copy.box_id != ctx.me.box_id);
+    let others = active.into_iter().filter(|copy| copy.box_id != ctx.me.box_id);
     others.cloned().collect()
 }
 
--- a/crates/shards/src/replicas.rs
+++ b/crates/shards/src/replicas.rs
@@ -9,7 +9,7 @@
 use ids::{DomainId, FencingToken, ServiceName};
 use node::StoreCall;
 use platform::Kind;
-use platform::accounts::AccountingError;
+use platform::accounting::AccountingError;
 use replicas::{BaselineReplicas, OrderOutcome, ReplicaLimits, ReplicaOrder, ReplicaPlan};
 
 use crate::accounts::AccountDuty;
@@ -80,7 +80,8 @@
 /// The replicas that serve now, by domain.
 fn listed_replicas(duty: &AccountDuty, service: &ServiceName) -> BTreeMap<DomainId, u32> {
     let mut listed = BTreeMap::new();
-    for record in duty.ctx.view.board().of_service(service).filter(|record| !record.leaving) {
+    for record in duty.ctx.view.target_table().of_service(service).filter(|record| !record.leaving)
+    {
         *listed.entry(record.domain.clone()).or_default() += 1;
     }
     listed
@@ -145,7 +146,7 @@
         OrderOutcome::NoCapacity => "none to be had",
         OrderOutcome::Failed => "failed",
     };
-    duty.ctx.view.metrics.ended("replica_order", word);
+    duty.ctx.view.metrics.count_outcome("replica_order", word);
     log::info!(
         target: "accounts", service:% = service, domain:% = order.domain, desired = order.desired,
         listed = listed.get(&order.domain).copied().unwrap_or_default(), token = hand.token.get(),
--- a/crates/shards/src/reports.rs
+++ b/crates/shards/src/reports.rs
@@ -9,7 +9,7 @@
 
 use ids::{BoxId, FencingToken, Moment, ObjectVersion};
 use node::StoreCall;
-use platform::accounts::AccountingError;
+use platform::accounting::AccountingError;
 use platform::{Kind, StoreError, Stored};
 use usage::{
     ReportAction, ReportPlan, ReportTimes, SendOutcome, StoreOutcome, TableVersion, UsageReport,
@@ -111,7 +111,7 @@
         let went_on = match self.plan.poll(time, all_heard) {
             None => true,
             Some(ReportAction::Read) => self.read(&duty.ctx).await,
-            Some(ReportAction::Fix { window, expect }) => {
+            Some(ReportAction::Commit { window, expect }) => {
                 self.fix(&duty.ctx, window, expect, all_heard).await
             }
             Some(ReportAction::Send(report)) => self.send(duty, report).await,
@@ -128,7 +128,7 @@
             Ok(None) => StoreOutcome::Absent,
             Err(error) => {
                 log::debug!(target: "usage", error:% = error; "last report not read");
-                StoreOutcome::NotDone
+                StoreOutcome::NotApplied
             }
         };
         let done = matches!(outcome, StoreOutcome::Holds(..) | StoreOutcome::Absent);
@@ -160,7 +160,7 @@
         );
         let outcome = match written {
             Ok(revision) => StoreOutcome::Holds(ObjectVersion::new(revision), report),
-            Err(StoreError::NotDone(_)) => StoreOutcome::NotDone,
+            Err(StoreError::NotApplied(_)) => StoreOutcome::NotApplied,
             Err(_) => StoreOutcome::Unsure,
         };
         let done = matches!(outcome, StoreOutcome::Holds(..));
@@ -182,7 +182,7 @@
             }
         };
         let metrics = &duty.ctx.view.metrics;
-        metrics.ended("usage_report", word);
+        metrics.count_outcome("usage_report", word);
         if outcome == SendOutcome::Taken {
             metrics.window_reported(report.window.get());
         }
@@ -199,7 +199,7 @@
 /// Whether all other boxes at work were heard just now, and so have told what they know of use.
 fn all_heard(ctx: &ShardContext) -> bool {
     let boxes: Vec<BoxId> =
-        ctx.view.duties().at_work().iter().map(|copy| copy.box_id.clone()).collect();
+        ctx.view.assignments().active_boxes().iter().map(|copy| copy.box_id.clone()).collect();
     let others = boxes.iter().filter(|box_id| **box_id != ctx.me.box_id);
     ctx.peers.all_heard(ctx.view.now(), others)
 }
@@ -209,7 +209,7 @@
         Ok(report) => StoreOutcome::Holds(ObjectVersion::new(stored.revision), report),
         Err(error) => {
             log::warn!(target: "usage", error:% = error; "last report refused");
-            StoreOutcome::NotDone
+            StoreOutcome::NotApplied
         }
     }
 }
--- a/crates/shards/src/reward.rs
+++ b/crates/shards/src/reward.rs
@@ -34,7 +34,7 @@
 
 impl SecondCalls {
     fn first(&self) {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner).attempt();
+        self.0.lock().unwrap_or_else(PoisonError::into_inner).record_attempt();
     }
 
     fn may_make(&self) -> bool {
--- a/crates/shards/src/role.rs
+++ b/crates/shards/src/role.rs
@@ -8,7 +8,7 @@
 use ids::{BoxId, whole_millis};
 use joblog::CopyFolder;
 use links::{LinkPool, LinkSettings, serve_links};
-use node::duties::{AssignmentSink, box_object};
+use node::assignments::{AssignmentSink, box_object};
 use node::feed::follow_feed;
 use node::follow::{KindSink, KindWatcher};
 use node::sinks::{ConfigSink, EvacuationSink, TargetSink, VersionSink};
@@ -98,7 +98,7 @@
     let targets = TargetSink::new(v());
     let mut targets = KindWatcher::new(view, Kind::Targets, GATHER_TARGETS, targets);
     let mut versions = KindWatcher::new(view, Kind::ModelVersions, none, VersionSink(v()));
-    let mut duties = KindWatcher::new(view, Kind::Duties, none, AssignmentSink(v()));
+    let mut duties = KindWatcher::new(view, Kind::ClusterState, none, AssignmentSink(v()));
     let retirements = RetireSink(Arc::clone(ctx));
     let mut retirements = KindWatcher::new(view, Kind::Retirements, none, retirements);
     let mut fed =
@@ -144,20 +144,20 @@
 async fn register(ctx: Arc<ShardContext>) {
     let name = box_object(&ctx.me.box_id);
     loop {
-        ctx.view.metrics.store_call(Kind::Duties, StoreCall::Read);
-        let registered = match ctx.view.store.get(Kind::Duties, &name).await {
+        ctx.view.metrics.store_call(Kind::ClusterState, StoreCall::Read);
+        let registered = match ctx.view.store.get(Kind::ClusterState, &name).await {
             Ok(Some(stored))
                 if stored.parse().is_ok_and(|copy: joblog::StorageBox| copy == ctx.me) =>
             {
                 return;
             }
             Ok(Some(stored)) => {
-                ctx.view.metrics.store_call(Kind::Duties, StoreCall::Write);
-                ctx.view.store.replace(Kind::Duties, &name, stored.revision, &ctx.me).await
+                ctx.view.metrics.store_call(Kind::ClusterState, StoreCall::Write);
+                ctx.view.store.replace(Kind::ClusterState, &name, stored.revision, &ctx.me).await
             }
             Ok(None) => {
-                ctx.view.metrics.store_call(Kind::Duties, StoreCall::Write);
-                ctx.view.store.create(Kind::Duties, &name, &ctx.me).await
+                ctx.view.metrics.store_call(Kind::ClusterState, StoreCall::Write);
+                ctx.view.store.create(Kind::ClusterState, &name, &ctx.me).await
             }
             Err(error) => Err(error),
         };
@@ -177,7 +177,7 @@
     for keeper in keepers {
         let Some(served) = keeper.served() else { continue };
         let next = {
-            let duties = ctx.view.duties();
+            let duties = ctx.view.assignments();
             let plan = duties.plan(keeper.shard()).map(|sighting| sighting.plan.clone());
             plan.and_then(|plan| plan.copies.into_iter().find(|copy| copy.box_id != ctx.me.box_id))
         };
@@ -235,11 +235,11 @@
 
 /// Whether no plan names this box, by a fresh listing.
 async fn is_free(ctx: &ShardContext) -> bool {
-    if ctx.view.duties().has_duty(&ctx.me.box_id) {
+    if ctx.view.assignments().has_assignment(&ctx.me.box_id) {
         return false;
     }
-    ctx.view.metrics.store_call(Kind::Duties, StoreCall::List);
-    let Ok(listing) = ctx.view.store.list(Kind::Duties).await else { return false };
+    ctx.view.metrics.store_call(Kind::ClusterState, StoreCall::List);
+    let Ok(listing) = ctx.view.store.list(Kind::ClusterState).await else { return false };
     AssignmentSink(Arc::clone(&ctx.view)).listed(&listing);
-    !ctx.view.duties().has_duty(&ctx.me.box_id)
+    !ctx.view.assignments().has_assignment(&ctx.me.box_id)
 }
--- a/crates/shards/src/run.rs
+++ b/crates/shards/src/run.rs
@@ -115,7 +115,7 @@
                 return RunReason::SilentBeforeHead;
             }
             Ok(Err(SendError::NotSent(_))) => return RunReason::NotSent,
-            Ok(Err(SendError::NoRoom)) => return RunReason::NoRoom,
+            Ok(Err(SendError::LimitReached)) => return RunReason::NoRoom,
             Ok(Err(SendError::Broken(_))) => return RunReason::BrokenBeforeHead,
             Ok(Ok(answer)) => answer,
         };
@@ -130,7 +130,7 @@
             return RunReason::OtherAnswer;
         }
         if let Some(load) = facts.load {
-            view.board().record_load(view.now(), &self.slot.instance, load);
+            view.target_table().record_load(view.now(), &self.slot.instance, load);
         }
         match answer.status() {
             StatusCode::MISDIRECTED_REQUEST => return RunReason::OtherTarget,
@@ -146,17 +146,17 @@
             return RunReason::Unsigned;
         }
         self.version = facts.version;
-        self.told_version();
+        self.record_version();
         if facts.version.is_some_and(|version| version < self.spec.job.min_version) {
             return RunReason::WeightsTooOld;
         }
         self.read_events(answer).await
     }
 
-    fn told_version(&self) {
+    fn record_version(&self) {
         let (Some(model), Some(version)) = (&self.model, self.version) else { return };
         let version = ModelVersion::new(version);
-        self.ctx.view.board().told_version(&self.slot.instance, model, version);
+        self.ctx.view.target_table().record_version(&self.slot.instance, model, version);
     }
 
     async fn read_events(&mut self, mut answer: TargetResponse) -> RunReason {
@@ -178,7 +178,7 @@
                 }
                 if event.version.is_some() {
                     self.version = event.version;
-                    self.told_version();
+                    self.record_version();
                 }
                 let Some(version) = self.version else {
                     return RunReason::NoVersion;
@@ -194,7 +194,7 @@
             return RunReason::EndedWithinEvent;
         }
         answer.reuse();
-        RunReason::Whole
+        RunReason::Complete
     }
 
     /// Gives new events to the log now and then, so that a long text survives this box.
@@ -220,7 +220,7 @@
         self.paced_at = Some((now, self.events.len()));
         let pace = now.duration_since(since) / events;
         let view = &self.ctx.view;
-        let mut board = view.board();
+        let mut board = view.target_table();
         board.record_unit_time(&self.slot.instance, pace);
         let events = self.spec.events + u32::try_from(self.events.len()).unwrap_or(u32::MAX);
         let factor = if events >= LONG_EVENTS { LONG_MOVE_FACTOR } else { MOVE_FACTOR };
@@ -247,24 +247,27 @@
             RunReason::Broken | RunReason::BrokenBeforeHead => {
                 record_disconnect(view, self.slot, self.work);
             }
-            RunReason::OtherTarget => view.suspects().gone(view.now(), &self.slot.instance),
+            RunReason::OtherTarget => {
+                view.suspects().instance_gone(view.now(), &self.slot.instance);
+            }
             // The engine has lived to say so.
-            RunReason::Whole | RunReason::Impossible | RunReason::TargetError => {
+            RunReason::Complete | RunReason::Impossible | RunReason::TargetError => {
                 view.suspects().succeeded(self.work);
             }
             _ => {}
         }
         // A second end is told by now, or the run after this one tells of it.
         view.suspects_changed();
-        view.metrics.ended("run", reason.word());
+        view.metrics.count_outcome("run", reason.as_str());
         let instance = &self.slot.instance;
-        if reason == RunReason::Whole {
-            view.board().succeeded(view.now(), instance);
+        if reason == RunReason::Complete {
+            view.target_table().succeeded(view.now(), instance);
         }
         if let Some(failure) = reason.failure() {
-            view.board().failed(view.now(), instance, failure);
+            view.target_table().failed(view.now(), instance, failure);
         }
-        let level = if reason == RunReason::Whole { log::Level::Debug } else { log::Level::Info };
+        let level =
+            if reason == RunReason::Complete { log::Level::Debug } else { log::Level::Info };
         let item = self.spec.request().map_or("", |item| item.id.as_str());
         log::log!(
             target: "jobs", level, job:% = self.spec.item.job, item = item, work:% = self.work,
--- a/crates/shards/src/run_reason.rs
+++ b/crates/shards/src/run_reason.rs
@@ -8,7 +8,7 @@
 /// Why a run of an item ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RunReason {
-    Whole,
+    Complete,
     /// The item's request cannot be written.
     Unwritable,
     NotSent,
@@ -40,7 +40,7 @@
     /// What becomes of the item.
     pub(crate) const fn outcome(self) -> RunOutcome {
         match self {
-            Self::Whole => RunOutcome::Whole,
+            Self::Complete => RunOutcome::Complete,
             Self::Unwritable | Self::Impossible => RunOutcome::Impossible,
             Self::NotSent
             | Self::NoRoom
@@ -78,9 +78,9 @@
     }
 
     /// The word for logs and metrics.
-    pub(crate) const fn word(self) -> &'static str {
+    pub(crate) const fn as_str(self) -> &'static str {
         match self {
-            Self::Whole => "whole",
+            Self::Complete => "whole",
             Self::Unwritable => "the item's request cannot be written",
             Self::NotSent => "not sent",
             Self::NoRoom => "no connection left",
@@ -107,6 +107,6 @@
 
 impl fmt::Display for RunReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.word())
+        f.write_str(self.as_str())
     }
 }
--- a/crates/suspects/src/book.rs
+++ b/crates/suspects/src/book.rs
@@ -6,7 +6,7 @@
 use ids::{InstanceId, Moment, ServiceName, SoftwareVersion, TargetIncarnation, WorkDigest};
 
 use crate::verdict::{OWN_ENDS, SETTLE_TIME, condemned};
-use crate::{MOST_ENDS, QUARANTINE_CRASHES, SuspectRecord, TargetCrash};
+use crate::{MAX_CRASHES, QUARANTINE_CRASHES, SuspectRecord, TargetCrash};
 
 /// Ends from which on work runs only where no other suspect does: where several lethal requests come at once, all that
 /// run beside them would reach a verdict with them.
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SuspectWrite {
     /// Tell of a piece of work, in place of what was told at this revision, if anything was.
-    Tell {
+    Publish {
         /// The work.
         work: WorkDigest,
         /// What is known of it.
@@ -55,9 +55,9 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct AntiAffinity {
     /// These targets.
-    pub places: Vec<InstanceId>,
+    pub targets: Vec<InstanceId>,
     /// It must not run there: with one more end it would be condemned, and who runs beside it as well.
-    pub alone: bool,
+    pub required: bool,
 }
 
 /// Whether condemned work may run once more.
@@ -121,7 +121,7 @@
 
     fn ends(&self) -> Vec<TargetCrash> {
         let unheard = self.seen.iter().filter(|end| !self.heard.contains(end));
-        self.heard.iter().chain(unheard).take(MOST_ENDS).cloned().collect()
+        self.heard.iter().chain(unheard).take(MAX_CRASHES).cloned().collect()
     }
 
     /// Lives that ended under it, or may have.
@@ -176,7 +176,7 @@
 
     /// Whether others should know: a second end, or a caller who may come to any of them.
     fn is_due(&self) -> bool {
-        let count = self.count().min(MOST_ENDS);
+        let count = self.count().min(MAX_CRASHES);
         let worth = count >= 2 || (count == 1 && self.given_up);
         let news = self.told.is_none_or(|told| told.ends < count);
         (worth && news) || self.trial == Trial::Wanted
@@ -210,12 +210,12 @@
     }
 
     /// Ends of targets that are known under a piece of work.
-    pub fn ends(&self, work: WorkDigest) -> usize {
+    pub fn crash_count(&self, work: WorkDigest) -> usize {
         self.suspects.get(&work).map_or(0, Suspect::count)
     }
 
     /// Takes the word that a target broke `work` off. `true` when nobody looks yet whether that life has ended.
-    pub fn broke(
+    pub fn record_break(
         &mut self,
         now: Moment,
         work: WorkDigest,
@@ -238,13 +238,13 @@
     }
 
     /// Takes the word that nothing listens at a life that broke work off.
-    pub fn refuses(&mut self, now: Moment, life: &TargetIncarnation) {
+    pub fn connection_refused(&mut self, now: Moment, life: &TargetIncarnation) {
         self.refused.insert(life.clone(), now);
         self.ended(now, life);
     }
 
     /// Takes the word that a life is over: its entry is gone, or another life has its address.
-    pub fn gone(&mut self, now: Moment, instance: &InstanceId) {
+    pub fn instance_gone(&mut self, now: Moment, instance: &InstanceId) {
         let lives = self.suspects.values().flat_map(|suspect| &suspect.breaks);
         let gone = lives.map(|(end, _)| &end.life).filter(|life| life.instance == *instance);
         let gone: HashSet<TargetIncarnation> = gone.cloned().collect();
@@ -259,7 +259,7 @@
                 continue;
             };
             let (end, _) = suspect.breaks.swap_remove(at);
-            if suspect.seen.len() < MOST_ENDS {
+            if suspect.seen.len() < MAX_CRASHES {
                 suspect.seen.push(end);
                 suspect.note_end(now);
             }
@@ -267,7 +267,7 @@
     }
 
     /// Lives that refused connections a while ago, and so must have lapsed by now; each is named once.
-    pub fn lapsed(&mut self, now: Moment) -> Vec<TargetIncarnation> {
+    pub fn drain_expired_refusals(&mut self, now: Moment) -> Vec<TargetIncarnation> {
         let due = self.refused.extract_if(|_, at| now.since(*at) >= LAPSE_TIME);
         due.map(|(life, _)| life).collect()
     }
@@ -302,14 +302,14 @@
     }
 
     /// Notes that the work's caller got no answer, and may come again anywhere.
-    pub fn given_up(&mut self, work: WorkDigest) {
+    pub fn caller_unanswered(&mut self, work: WorkDigest) {
         if let Some(suspect) = self.suspects.get_mut(&work) {
             suspect.given_up = true;
         }
     }
 
     /// Notes that the work begins to run at a target.
-    pub fn began(&mut self, work: WorkDigest, target: &InstanceId) {
+    pub fn work_started(&mut self, work: WorkDigest, target: &InstanceId) {
         if let Some(suspect) = self.suspects.get_mut(&work) {
             suspect.places.push(target.clone());
             suspect.trial = Trial::None;
@@ -317,7 +317,7 @@
     }
 
     /// Notes that it does not run there any more.
-    pub fn left(&mut self, work: WorkDigest, target: &InstanceId) {
+    pub fn work_ended(&mut self, work: WorkDigest, target: &InstanceId) {
         if let Some(suspect) = self.suspects.get_mut(&work)
             && let Some(at) = suspect.places.iter().position(|place| place == target)
         {
@@ -326,7 +326,7 @@
     }
 
     /// Where other suspects run now, from this box: beside them the next end tells nothing, and may hit innocent work.
-    pub fn company(&self, work: WorkDigest) -> AntiAffinity {
+    pub fn anti_affinity(&self, work: WorkDigest) -> AntiAffinity {
         let suspect = self.suspects.get(&work);
         let others = self.suspects.iter().filter(|(other, known)| {
             let shuns = match suspect {
@@ -339,8 +339,8 @@
             };
             **other != work && shuns
         });
-        let places = others.flat_map(|(_, known)| known.places.iter().cloned()).collect();
-        AntiAffinity { places, alone: suspect.is_some_and(|known| known.count() >= ALONE_ENDS) }
+        let targets = others.flat_map(|(_, known)| known.places.iter().cloned()).collect();
+        AntiAffinity { targets, required: suspect.is_some_and(|known| known.count() >= ALONE_ENDS) }
     }
 
     /// Whether condemned work may run once, to see whether the reason has gone. Where a trial is due it is asked for; the
@@ -354,11 +354,17 @@
     }
 
     /// Takes the word that the store has taken what this box told of a piece of work.
-    pub fn written(&mut self, now: Moment, work: WorkDigest, revision: u64, record: SuspectRecord) {
+    pub fn write_confirmed(
+        &mut self,
+        now: Moment,
+        work: WorkDigest,
+        revision: u64,
+        record: SuspectRecord,
+    ) {
         let asked = self.suspects.get(&work);
         let granted =
             asked.is_some_and(|known| known.trial == Trial::Wanted && record.trials > known.trials);
-        self.told(now, work, revision, record);
+        self.apply_record(now, work, revision, record);
         if granted && let Some(suspect) = self.suspects.get_mut(&work) {
             suspect.trial = Trial::Granted;
         }
@@ -366,7 +372,7 @@
 
     /// Versions of the service's software at whose targets the work must not run; none for work that is free, or about
     /// which other boxes may still tell what explains its ends better.
-    pub fn condemned(
+    pub fn quarantined_versions(
         &self,
         now: Moment,
         work: WorkDigest,
@@ -375,14 +381,14 @@
         let Some(suspect) = self.suspects.get(&work) else { return Vec::new() };
         let enough_at = suspect.enough_at.unwrap_or(now);
         if suspect.settled || now.since(enough_at) >= SETTLE_TIME {
-            self.suspected(work, service)
+            self.suspected_versions(work, service)
         } else {
             Vec::new()
         }
     }
 
     /// The same without the wait for other boxes' word: work that may as well wait does not run meanwhile.
-    pub fn suspected(
+    pub fn suspected_versions(
         &self,
         work: WorkDigest,
         service: &ServiceName,
@@ -402,7 +408,7 @@
     /// Writes to the store that are due.
     pub fn due_writes(&self) -> Vec<SuspectWrite> {
         let due = self.suspects.iter().filter(|(_, suspect)| suspect.is_due());
-        let tells = due.map(|(work, suspect)| SuspectWrite::Tell {
+        let tells = due.map(|(work, suspect)| SuspectWrite::Publish {
             work: *work,
             record: suspect.record(),
             revision: suspect.told.map(|told| told.revision),
@@ -414,7 +420,13 @@
     }
 
     /// Takes what the store holds of a piece of work, written here or elsewhere.
-    pub fn told(&mut self, now: Moment, work: WorkDigest, revision: u64, record: SuspectRecord) {
+    pub fn apply_record(
+        &mut self,
+        now: Moment,
+        work: WorkDigest,
+        revision: u64,
+        record: SuspectRecord,
+    ) {
         if let Some(cleared) = self.cleared.get_mut(&work) {
             *cleared = revision.max(*cleared);
             return;
@@ -434,7 +446,7 @@
             suspect.trial = Trial::None;
         }
         suspect.heard = record.ends;
-        suspect.heard.truncate(MOST_ENDS);
+        suspect.heard.truncate(MAX_CRASHES);
         suspect.told = Some(Told { revision, ends: suspect.heard.len() });
         if suspect.count() > count {
             suspect.note_end(now);
@@ -442,7 +454,7 @@
     }
 
     /// Takes the word that the store holds nothing of a piece of work any more.
-    pub fn untold(&mut self, work: WorkDigest) {
+    pub fn apply_removal(&mut self, work: WorkDigest) {
         self.cleared.remove(&work);
         if self.suspects.get(&work).is_some_and(|suspect| suspect.told.is_some()) {
             self.suspects.remove(&work);
@@ -450,7 +462,7 @@
     }
 
     /// Takes a whole listing, after what it tells of each: what it does not name is not told any more.
-    pub fn listed(&mut self, named: &HashSet<WorkDigest>) {
+    pub fn apply_listing(&mut self, named: &HashSet<WorkDigest>) {
         for suspect in self.suspects.values_mut() {
             suspect.settled |= suspect.heard.len() >= QUARANTINE_CRASHES;
         }
--- a/crates/suspects/src/lib.rs
+++ b/crates/suspects/src/lib.rs
@@ -22,5 +22,5 @@
 mod verdict;
 
 pub use book::{AntiAffinity, SuspectTable, SuspectWrite};
-pub use record::{MOST_ENDS, SuspectRecord, TargetCrash};
+pub use record::{MAX_CRASHES, SuspectRecord, TargetCrash};
 pub use verdict::{QUARANTINE_CRASHES, UNCONDITIONAL_QUARANTINE_CRASHES};
--- a/crates/suspects/src/record.rs
+++ b/crates/suspects/src/record.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Ends that are remembered of one piece of work; a verdict needs fewer.
-pub const MOST_ENDS: usize = 8;
+pub const MAX_CRASHES: usize = 8;
 
 /// The end of a target under a piece of work.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
--- a/crates/suspects/tests/book.rs
+++ b/crates/suspects/tests/book.rs
@@ -7,7 +7,7 @@
     InstanceId, Moment, ServiceName, SoftwareVersion, StartTime, TargetIncarnation, WorkDigest,
 };
 use suspects::{
-    AntiAffinity, MOST_ENDS, QUARANTINE_CRASHES, SuspectRecord, SuspectTable, SuspectWrite,
+    AntiAffinity, MAX_CRASHES, QUARANTINE_CRASHES, SuspectRecord, SuspectTable, SuspectWrite,
     TargetCrash, UNCONDITIONAL_QUARANTINE_CRASHES,
 };
 
@@ -45,13 +45,13 @@
 /// A target ends under all of these.
 fn end_under(book: &mut SuspectTable, now: Moment, number: usize, works: &[&str]) {
     for name in works {
-        book.broke(now, work(name), &service(), end_of(number));
+        book.record_break(now, work(name), &service(), end_of(number));
     }
-    book.refuses(now, &life(number));
+    book.connection_refused(now, &life(number));
 }
 
 fn is_condemned(book: &SuspectTable, now: Moment, name: &str) -> bool {
-    !book.condemned(now + SETTLED, work(name), &service()).is_empty()
+    !book.quarantined_versions(now + SETTLED, work(name), &service()).is_empty()
 }
 
 #[test]
@@ -61,11 +61,17 @@
         assert!(!is_condemned(&book, at(9), "a"), "after {number} ends");
         end_under(&mut book, at(1), number, &["a"]);
     }
-    assert!(book.condemned(at(1), work("a"), &service()).is_empty(), "others may explain it yet");
+    assert!(
+        book.quarantined_versions(at(1), work("a"), &service()).is_empty(),
+        "others may explain it yet"
+    );
     assert!(is_condemned(&book, at(1), "a"));
     assert!(!is_condemned(&book, at(1), "b"));
     let other: ServiceName = "other".parse().expect("an id");
-    assert!(book.condemned(at(9), work("a"), &other).is_empty(), "it has ended nobody there");
+    assert!(
+        book.quarantined_versions(at(9), work("a"), &other).is_empty(),
+        "it has ended nobody there"
+    );
 }
 
 #[test]
@@ -74,19 +80,24 @@
     for _ in 0..5 {
         end_under(&mut book, at(1), 1, &["a"]);
     }
-    assert_eq!(book.ends(work("a")), 1);
+    assert_eq!(book.crash_count(work("a")), 1);
     let later = TargetIncarnation { born: StartTime::new(7), ..life(1) };
-    book.broke(at(2), work("a"), &service(), TargetCrash { life: later.clone(), software: None });
-    book.refuses(at(2), &later);
-    assert_eq!(book.ends(work("a")), 2);
+    book.record_break(
+        at(2),
+        work("a"),
+        &service(),
+        TargetCrash { life: later.clone(), software: None },
+    );
+    book.connection_refused(at(2), &later);
+    assert_eq!(book.crash_count(work("a")), 2);
 }
 
 #[test]
 fn a_closed_connection_is_no_end() {
     let mut book = SuspectTable::default();
     for number in 0..9 {
-        assert!(book.broke(at(1), work("a"), &service(), end_of(number)), "to be looked at");
-        assert!(!book.broke(at(1), work("b"), &service(), end_of(number)), "somebody looks");
+        assert!(book.record_break(at(1), work("a"), &service(), end_of(number)), "to be looked at");
+        assert!(!book.record_break(at(1), work("b"), &service(), end_of(number)), "somebody looks");
     }
     assert!(!is_condemned(&book, at(1), "a"));
     book.expire(at(60), false);
@@ -98,8 +109,8 @@
     let mut book = SuspectTable::default();
     for number in 0..QUARANTINE_CRASHES {
         // It was back so soon that it took connections when it was looked at.
-        book.broke(at(1), work("a"), &service(), end_of(number));
-        book.gone(at(3), &instance(number));
+        book.record_break(at(1), work("a"), &service(), end_of(number));
+        book.instance_gone(at(3), &instance(number));
     }
     assert!(is_condemned(&book, at(3), "a"));
 }
@@ -117,9 +128,9 @@
     let clear = SuspectWrite::Clear { work: work("a"), revision: 10 };
     assert_eq!(book.due_writes(), std::slice::from_ref(&clear));
     // Another box tells of it meanwhile: it is cleared away all the same.
-    book.told(at(2), work("a"), 12, told[0].1.clone());
+    book.apply_record(at(2), work("a"), 12, told[0].1.clone());
     assert!(!is_condemned(&book, at(2), "a"));
-    book.untold(work("a"));
+    book.apply_removal(work("a"));
     assert!(book.is_empty() && book.due_writes().is_empty());
 }
 
@@ -127,12 +138,12 @@
 fn tell_all(book: &mut SuspectTable, now: Moment) -> Vec<(WorkDigest, SuspectRecord)> {
     let due = book.due_writes();
     let tells = due.into_iter().filter_map(|write| match write {
-        SuspectWrite::Tell { work, record, .. } => Some((work, record)),
+        SuspectWrite::Publish { work, record, .. } => Some((work, record)),
         SuspectWrite::Clear { .. } => None,
     });
     let tells: Vec<_> = tells.collect();
     for (number, (work, record)) in tells.iter().enumerate() {
-        book.written(now, *work, 10 + number as u64, record.clone());
+        book.write_confirmed(now, *work, 10 + number as u64, record.clone());
     }
     tells
 }
@@ -142,7 +153,7 @@
     let mut book = SuspectTable::default();
     end_under(&mut book, at(1), 1, &["a", "b"]);
     assert!(book.due_writes().is_empty(), "its next try may be answered");
-    book.given_up(work("a"));
+    book.caller_unanswered(work("a"));
     assert_eq!(tell_all(&mut book, at(1)).len(), 1);
     assert!(book.due_writes().is_empty(), "it is told");
     end_under(&mut book, at(2), 2, &["a", "b"]);
@@ -157,11 +168,11 @@
     }
     let told = tell_all(&mut first, at(1));
     let mut second = SuspectTable::default();
-    second.told(at(0), told[0].0, 10, told[0].1.clone());
-    second.listed(&HashSet::from([work("a")]));
-    assert!(!second.condemned(at(0), work("a"), &service()).is_empty());
+    second.apply_record(at(0), told[0].0, 10, told[0].1.clone());
+    second.apply_listing(&HashSet::from([work("a")]));
+    assert!(!second.quarantined_versions(at(0), work("a"), &service()).is_empty());
     // What the store does not hold any more is free.
-    second.listed(&HashSet::new());
+    second.apply_listing(&HashSet::new());
     assert!(second.is_empty());
 }
 
@@ -171,10 +182,10 @@
     let mut stored: Option<(u64, SuspectRecord)> = None;
     for (number, book) in books.iter_mut().enumerate() {
         if let Some((revision, record)) = stored.clone() {
-            book.told(at(1), work("a"), revision, record);
+            book.apply_record(at(1), work("a"), revision, record);
         }
         end_under(book, at(1), number, &["a"]);
-        book.given_up(work("a"));
+        book.caller_unanswered(work("a"));
         let told = tell_all(book, at(1));
         stored = Some((number as u64 + 20, told[0].1.clone()));
     }
@@ -192,20 +203,20 @@
     }
     assert!(!is_condemned(&book, at(1), "lethal") && !is_condemned(&book, at(1), "innocent"));
     // They run apart from each other.
-    book.began(work("lethal"), &instance(7));
-    let beside = AntiAffinity { places: vec![instance(7)], alone: true };
-    assert_eq!(book.company(work("innocent")), beside);
-    assert!(book.company(work("lethal")).places.is_empty());
-    let fresh = AntiAffinity { alone: false, ..beside };
-    assert_eq!(book.company(work("of no suspicion")), fresh, "it may, but had better not");
+    book.work_started(work("lethal"), &instance(7));
+    let beside = AntiAffinity { targets: vec![instance(7)], required: true };
+    assert_eq!(book.anti_affinity(work("innocent")), beside);
+    assert!(book.anti_affinity(work("lethal")).targets.is_empty());
+    let fresh = AntiAffinity { required: false, ..beside };
+    assert_eq!(book.anti_affinity(work("of no suspicion")), fresh, "it may, but had better not");
     let mut once = SuspectTable::default();
     end_under(&mut once, at(1), 1, &["a"]);
-    once.began(work("a"), &instance(7));
-    assert_eq!(once.company(work("of no suspicion")), AntiAffinity::default(), "one crash");
+    once.work_started(work("a"), &instance(7));
+    assert_eq!(once.anti_affinity(work("of no suspicion")), AntiAffinity::default(), "one crash");
     end_under(&mut book, at(1), 99, &["of another crash"]);
-    assert_eq!(book.company(work("of another crash")), AntiAffinity::default());
-    book.left(work("lethal"), &instance(7));
-    assert!(book.company(work("innocent")).places.is_empty());
+    assert_eq!(book.anti_affinity(work("of another crash")), AntiAffinity::default());
+    book.work_ended(work("lethal"), &instance(7));
+    assert!(book.anti_affinity(work("innocent")).targets.is_empty());
     let mut answered = SuspectTable::default();
     for number in 0..QUARANTINE_CRASHES {
         end_under(&mut answered, at(1), number, &["lethal", "innocent"]);
@@ -247,10 +258,10 @@
         end_under(&mut book, at(1), number, &["a"]);
     }
     tell_all(&mut book, at(1));
-    assert!(book.lapsed(at(4)).is_empty(), "its entry may stand that long");
-    let lapsed = book.lapsed(at(8));
+    assert!(book.drain_expired_refusals(at(4)).is_empty(), "its entry may stand that long");
+    let lapsed = book.drain_expired_refusals(at(8));
     assert_eq!(lapsed.len(), QUARANTINE_CRASHES);
-    assert!(book.lapsed(at(9)).is_empty(), "each is named once");
+    assert!(book.drain_expired_refusals(at(9)).is_empty(), "each is named once");
     book.clear_incarnation(&lapsed[0]);
     assert!(!is_condemned(&book, at(8), "a"));
     assert_eq!(tell_all(&mut book, at(8)).len(), 1, "the others hear of it");
@@ -265,11 +276,11 @@
     for number in 0..QUARANTINE_CRASHES {
         end_under(&mut book, at(1), number, &["a"]);
     }
-    assert_eq!(book.condemned(at(3), work("a"), &service()), [Some(software("v1"))]);
+    assert_eq!(book.quarantined_versions(at(3), work("a"), &service()), [Some(software("v1"))]);
     let next = TargetCrash { life: life(9), software: Some(software("v2")) };
-    book.broke(at(4), work("a"), &service(), next);
-    book.refuses(at(4), &life(9));
-    let condemned = book.condemned(at(4), work("a"), &service());
+    book.record_break(at(4), work("a"), &service(), next);
+    book.connection_refused(at(4), &life(9));
+    let condemned = book.quarantined_versions(at(4), work("a"), &service());
     assert_eq!(condemned, [Some(software("v1")), Some(software("v2"))], "one end is enough there");
 }
 
@@ -290,9 +301,9 @@
         let told = tell_all(&mut book, now);
         if book.request_trial(now, work("a")) {
             trials += 1;
-            other.told(now, work("a"), 10 + hour, told[0].1.clone());
+            other.apply_record(now, work("a"), 10 + hour, told[0].1.clone());
             assert!(!other.request_trial(now, work("a")), "one box makes it");
-            book.began(work("a"), &instance(1));
+            book.work_started(work("a"), &instance(1));
             assert!(!book.request_trial(now, work("a")), "once");
         }
     }
@@ -308,7 +319,7 @@
     let record = SuspectRecord { service: service(), ends: vec![end_of(1), end_of(2)], trials: 0 };
     let [mut keeps, mut serves] = [SuspectTable::default(), SuspectTable::default()];
     for book in [&mut keeps, &mut serves] {
-        book.told(at(1), work("a"), 5, record.clone());
+        book.apply_record(at(1), work("a"), 5, record.clone());
     }
     let later = at(1) + Duration::from_mins(11);
     keeps.expire(later, true);
@@ -334,7 +345,7 @@
         end_under(&mut book, at(3), 9_000 + number, &["lethal"]);
     }
     let told = tell_all(&mut book, at(3));
-    assert!(told[0].1.ends.len() <= MOST_ENDS);
+    assert!(told[0].1.ends.len() <= MAX_CRASHES);
     assert!(serde_json::to_vec(&told[0].1).expect("it is written").len() < 1_024);
     assert!(book.due_writes().is_empty(), "more ends say nothing new");
 }
@@ -345,16 +356,16 @@
     const MOST_BREAKS: usize = 16;
     let mut book = SuspectTable::default();
     for number in 0..=MOST_BREAKS {
-        book.broke(at(1), work("a"), &service(), end_of(number));
+        book.record_break(at(1), work("a"), &service(), end_of(number));
     }
-    book.refuses(at(2), &life(MOST_BREAKS));
-    assert_eq!(book.ends(work("a")), 0, "one more than are remembered");
-    book.refuses(at(2), &life(0));
-    assert_eq!(book.ends(work("a")), 1);
+    book.connection_refused(at(2), &life(MOST_BREAKS));
+    assert_eq!(book.crash_count(work("a")), 0, "one more than are remembered");
+    book.connection_refused(at(2), &life(0));
+    assert_eq!(book.crash_count(work("a")), 1);
     // The place of a break whose target has ended is free for the next.
-    book.broke(at(3), work("a"), &service(), end_of(MOST_BREAKS + 1));
-    book.refuses(at(3), &life(MOST_BREAKS + 1));
-    assert_eq!(book.ends(work("a")), 2);
+    book.record_break(at(3), work("a"), &service(), end_of(MOST_BREAKS + 1));
+    book.connection_refused(at(3), &life(MOST_BREAKS + 1));
+    assert_eq!(book.crash_count(work("a")), 2);
 }
 
 /// As seen in a run of real processes: two lethal requests at once on three targets, and work that by chance ran beside
--- a/crates/suspects/tests/property.rs
+++ b/crates/suspects/tests/property.rs
@@ -32,7 +32,7 @@
         };
         let mut beside = Vec::new();
         for number in 0..lethal {
-            let known = !book.condemned(now, work(true, number), &service()).is_empty();
+            let known = !book.quarantined_versions(now, work(true, number), &service()).is_empty();
             if !known && u.ratio(1, 3)? {
                 beside.push(work(true, number));
             }
@@ -45,7 +45,7 @@
         }
         for work in &beside {
             if ends {
-                book.broke(
+                book.record_break(
                     now,
                     *work,
                     &service(),
@@ -56,7 +56,7 @@
             }
         }
         if ends {
-            book.refuses(now, &life);
+            book.connection_refused(now, &life);
         }
         check(&book, now + ROUND);
     }
@@ -75,10 +75,11 @@
         play(u, 1, |book, now| {
             for number in 0..INNOCENT {
                 let innocent = work(false, number);
-                let condemned = book.condemned(now, innocent, &service());
+                let condemned = book.quarantined_versions(now, innocent, &service());
                 // Without a bound two lethal ones could hide behind each other for ever.
                 assert!(
-                    condemned.is_empty() || book.ends(innocent) >= UNCONDITIONAL_QUARANTINE_CRASHES,
+                    condemned.is_empty()
+                        || book.crash_count(innocent) >= UNCONDITIONAL_QUARANTINE_CRASHES,
                     "{number}"
                 );
             }
@@ -91,8 +92,9 @@
     each_seed(|u| {
         play(u, 4, |book, now| {
             for number in 0..4 {
-                let ends = book.ends(work(true, number));
-                let known = !book.condemned(now, work(true, number), &service()).is_empty();
+                let ends = book.crash_count(work(true, number));
+                let known =
+                    !book.quarantined_versions(now, work(true, number), &service()).is_empty();
                 assert!(
                     ends < UNCONDITIONAL_QUARANTINE_CRASHES || known,
                     "{ends} ends of {number}"
--- a/crates/swaps/src/conductor.rs
+++ b/crates/swaps/src/conductor.rs
@@ -31,7 +31,7 @@
 /// What the conductor wants done.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RolloutAction {
-    /// Send the order, then call [`RolloutCoordinator::ordered`].
+    /// Send the order, then call [`RolloutCoordinator::order_completed`].
     Order(SwapOrder),
     /// Read the replica, then call [`RolloutCoordinator::read`] or [`RolloutCoordinator::read_failed`].
     Read(TargetId),
@@ -47,7 +47,7 @@
     /// Replicas read to hold the version.
     pub done: usize,
     /// Replicas with an order under way.
-    pub under_way: usize,
+    pub in_flight: usize,
     /// Replicas whose last order ended without a definite answer, or that were never read.
     pub in_doubt: usize,
 }
@@ -163,7 +163,7 @@
 
     /// Takes the outcome of an order: `true` when the engine says it holds the version,
     /// `false` when it refused and nothing changed, `None` without a definite answer.
-    pub fn ordered(&mut self, now: Moment, target: &TargetId, outcome: Option<bool>) {
+    pub fn order_completed(&mut self, now: Moment, target: &TargetId, outcome: Option<bool>) {
         let Some(replica) = self.replicas.get_mut(target) else {
             return;
         };
@@ -230,7 +230,7 @@
             wanted,
             replicas: self.replicas.len(),
             done: self.replicas.values().filter(done).count(),
-            under_way: self.count(ReplicaView::Ordered),
+            in_flight: self.count(ReplicaView::Ordered),
             in_doubt: self.count(ReplicaView::Unknown),
         }
     }
