--- a/crates/upstream/src/answer.rs
+++ b/crates/upstream/src/answer.rs
@@ -28,7 +28,7 @@
 
 impl std::fmt::Debug for TargetResponse {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("TargetAnswer")
+        f.debug_struct("TargetResponse")
             .field("address", &self.address)
             .field("status", &self.status)
             .finish_non_exhaustive()
@@ -101,7 +101,7 @@
     }
 
     /// Reads the whole body, `most` bytes at most, and gives the connection back.
-    pub async fn whole(mut self, most: usize) -> Result<FullResponse, SendError> {
+    pub async fn read_full(mut self, most: usize) -> Result<FullResponse, SendError> {
         let mut body = BytesMut::new();
         while let Some(bytes) = self.next().await? {
             if body.len() + bytes.len() > most {
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -36,7 +36,7 @@
     #[error(
         "no connection may be opened, nothing was sent: wait until others have ended, or raise `--max-fds`"
     )]
-    NoRoom,
+    LimitReached,
     /// It was sent, and may have run.
     #[error("the target broke off ({0}): the request may have run")]
     Broken(String),
@@ -50,7 +50,7 @@
     /// Nothing does: connections are refused.
     Refuses,
     /// No answer: the way may be cut, or its queue be full.
-    Silent,
+    Unresponsive,
 }
 
 pub(crate) struct Connection {
@@ -135,7 +135,7 @@
         address: SocketAddr,
         request: Request<Full<Bytes>>,
     ) -> Result<TargetResponse, SendError> {
-        let Some(place) = self.place() else { return Err(SendError::NoRoom) };
+        let Some(place) = self.place() else { return Err(SendError::LimitReached) };
         let connected = time::timeout(CONNECT_TIMEOUT, connect(address, place)).await;
         let Ok(Some(mut connection)) = connected else {
             return Err(SendError::NotSent(address));
@@ -150,11 +150,11 @@
     }
 
     /// Opens a connection for a moment, to see whether anything listens.
-    pub async fn look(&self, address: SocketAddr) -> PortState {
+    pub async fn probe(&self, address: SocketAddr) -> PortState {
         match time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
             Ok(Ok(_stream)) => PortState::Listens,
             Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => PortState::Refuses,
-            Ok(Err(_)) | Err(_) => PortState::Silent,
+            Ok(Err(_)) | Err(_) => PortState::Unresponsive,
         }
     }
 
--- a/crates/upstream/tests/hostile.rs
+++ b/crates/upstream/tests/hostile.rs
@@ -68,7 +68,7 @@
 
 async fn ask(pool: &TargetPool, address: SocketAddr) -> Result<FullResponse, SendError> {
     let request = Request::post("/x").header("host", "h").body(Full::new(Bytes::from_static(b"q")));
-    pool.send(address, request.expect("a request")).await?.whole(MOST).await
+    pool.send(address, request.expect("a request")).await?.read_full(MOST).await
 }
 
 #[tokio::test]
--- a/crates/upstream/tests/limit.rs
+++ b/crates/upstream/tests/limit.rs
@@ -79,7 +79,7 @@
     }
     assert!(!pool.has_capacity(), "they run");
     for answer in answers {
-        answer.whole(16).await.expect("whole");
+        answer.read_full(16).await.expect("whole");
     }
     assert_eq!(pool.limit().open(), pool.limit().most(), "they rest");
     assert!(pool.has_capacity());
@@ -91,14 +91,14 @@
     let pool = TargetPool::new(ConnectionLimit::for_descriptors(128));
     let most = pool.limit().most();
     let answer = pool.send(address, request()).await.expect("an answer");
-    answer.whole(16).await.expect("whole");
+    answer.read_full(16).await.expect("whole");
     assert_eq!(pool.limit().open(), 1, "it rests");
     let mut running = Vec::new();
     for _ in 0..most {
         running.push(pool.send_on_new_connection(address, request()).await.expect("an answer"));
     }
     let refused = pool.send_on_new_connection(address, request()).await;
-    assert!(matches!(refused, Err(SendError::NoRoom)), "{refused:?}");
+    assert!(matches!(refused, Err(SendError::LimitReached)), "{refused:?}");
     running.pop();
     pool.send_on_new_connection(address, request()).await.expect("an answer");
 }
--- a/crates/upstream/tests/look.rs
+++ b/crates/upstream/tests/look.rs
@@ -10,7 +10,7 @@
     let pool = TargetPool::default();
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address: SocketAddr = listener.local_addr().expect("bound");
-    assert_eq!(pool.look(address).await, PortState::Listens);
+    assert_eq!(pool.probe(address).await, PortState::Listens);
     drop(listener);
-    assert_eq!(pool.look(address).await, PortState::Refuses);
+    assert_eq!(pool.probe(address).await, PortState::Refuses);
 }
--- a/crates/upstream/tests/silent.rs
+++ b/crates/upstream/tests/silent.rs
@@ -42,7 +42,7 @@
 
 async fn send(pool: &TargetPool, address: SocketAddr) -> Result<FullResponse, SendError> {
     let request = Request::get("/").body(Full::new(Bytes::new())).expect("a request");
-    pool.send(address, request).await?.whole(1 << 10).await
+    pool.send(address, request).await?.read_full(1 << 10).await
 }
 
 #[tokio::test]
--- a/crates/usage/src/clock.rs
+++ b/crates/usage/src/clock.rs
@@ -58,7 +58,7 @@
 
 impl ClusterClock {
     /// Takes what a box, this one or another, reads as its time of day now.
-    pub fn hear(&mut self, now: Moment, from: &BoxId, time: UnixTime) {
+    pub fn observe(&mut self, now: Moment, from: &BoxId, time: UnixTime) {
         let voice = Voice { offset: offset_of(now, time), heard_at: now };
         self.voices.insert(from.clone(), voice);
         self.voices.retain(|_, voice| now.since(voice.heard_at) < HEARD_TIME);
--- a/crates/usage/src/plan.rs
+++ b/crates/usage/src/plan.rs
@@ -58,7 +58,7 @@
     /// Read the object of the last report, then call [`ReportPlan::read_done`].
     Read,
     /// Write this report in its place, with the counts of its window, then call [`ReportPlan::commit_done`].
-    Fix {
+    Commit {
         /// The window whose counts are due.
         window: UsageWindow,
         /// The version that the write is conditional on; zero means that the object must be absent.
@@ -78,7 +78,7 @@
     /// It is another than the write was conditional on, or nobody knows.
     Unsure,
     /// Nothing was done.
-    NotDone,
+    NotApplied,
 }
 
 /// How the sending of a report ended.
@@ -136,7 +136,7 @@
         };
         let wait = if all_heard { self.times.settle } else { self.times.patience };
         let due = self.times.length.end_of(window).millis() + whole_millis(wait);
-        (now.millis() >= due).then_some(ReportAction::Fix { window, expect })
+        (now.millis() >= due).then_some(ReportAction::Commit { window, expect })
     }
 
     /// The oldest window whose counts are not forgotten.
@@ -152,7 +152,7 @@
                 self.known = Known::Report { version, report, taken: false };
             }
             StoreOutcome::Absent => self.known = Known::Absent,
-            StoreOutcome::Unsure | StoreOutcome::NotDone => {}
+            StoreOutcome::Unsure | StoreOutcome::NotApplied => {}
         }
     }
 
@@ -164,7 +164,7 @@
             }
             // Written by another box, or by this one without its knowing: what stands there counts.
             StoreOutcome::Absent | StoreOutcome::Unsure => self.known = Known::Nothing,
-            StoreOutcome::NotDone => {}
+            StoreOutcome::NotApplied => {}
         }
     }
 
--- a/crates/usage/src/table.rs
+++ b/crates/usage/src/table.rs
@@ -13,7 +13,7 @@
     /// The box.
     pub box_id: BoxId,
     /// Its life.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
 }
 
 /// How many requests of a customer one source saw begin in a window, in all so far.
--- a/crates/usage/tests/clock.rs
+++ b/crates/usage/tests/clock.rs
@@ -20,7 +20,7 @@
 fn tell(clock: &mut ClusterClock, millis: u64, stepped: &[i64]) {
     for (number, step) in stepped.iter().enumerate() {
         let time = (EPOCH + millis).saturating_add_signed(*step);
-        clock.hear(at(millis), &name(number), UnixTime::new(time));
+        clock.observe(at(millis), &name(number), UnixTime::new(time));
     }
 }
 
@@ -86,7 +86,7 @@
     tell(&mut clock, 0, &[0, 5, -5]);
     for now in (250..60_000).step_by(250) {
         // Its own voice alone, after a step.
-        clock.hear(at(now), &name(0), UnixTime::new(EPOCH + now + 5_000));
+        clock.observe(at(now), &name(0), UnixTime::new(EPOCH + now + 5_000));
     }
     assert!(error(&clock, 60_000).abs() <= 5);
 }
@@ -94,7 +94,7 @@
 #[test]
 fn a_box_that_starts_on_a_wrong_clock_is_right_once_two_others_are_heard() {
     let mut clock = ClusterClock::default();
-    clock.hear(at(0), &name(0), UnixTime::new(EPOCH + 8_000));
+    clock.observe(at(0), &name(0), UnixTime::new(EPOCH + 8_000));
     assert_eq!(error(&clock, 0), 8_000);
     tell(&mut clock, 250, &[8_000, 0, 0]);
     assert_eq!(error(&clock, 250), 0);
--- a/crates/usage/tests/plan.rs
+++ b/crates/usage/tests/plan.rs
@@ -34,7 +34,7 @@
 
 fn fix(window: u64, version: u64) -> ReportAction {
     let expect = ObjectVersion::new(version);
-    ReportAction::Fix { window: UsageWindow::new(window), expect }
+    ReportAction::Commit { window: UsageWindow::new(window), expect }
 }
 
 #[test]
@@ -102,7 +102,7 @@
     }
     let mut plan = plan();
     plan.read_done(StoreOutcome::Absent);
-    plan.commit_done(StoreOutcome::NotDone);
+    plan.commit_done(StoreOutcome::NotApplied);
     assert_eq!(plan.poll(after_first(2_000), true), Some(fix(FIRST, 0)));
 }
 
@@ -156,10 +156,12 @@
             };
             let (lost, weak) = (u.ratio(1, 5)?, u.ratio(1, 5)?);
             match action {
-                ReportAction::Read if weak => plans[who].read_done(StoreOutcome::NotDone),
+                ReportAction::Read if weak => plans[who].read_done(StoreOutcome::NotApplied),
                 ReportAction::Read => plans[who].read_done(store.read()),
-                ReportAction::Fix { .. } if weak => plans[who].commit_done(StoreOutcome::NotDone),
-                ReportAction::Fix { window, expect } => {
+                ReportAction::Commit { .. } if weak => {
+                    plans[who].commit_done(StoreOutcome::NotApplied);
+                }
+                ReportAction::Commit { window, expect } => {
                     // Each box counts differently.
                     let fixed = report(window.get(), counted);
                     let written = store.write(expect, fixed.clone());
@@ -196,7 +198,7 @@
             match plan.poll(after_first(now), true) {
                 None => now += 1_000,
                 Some(ReportAction::Read) => plan.read_done(store.read()),
-                Some(ReportAction::Fix { window, expect }) => {
+                Some(ReportAction::Commit { window, expect }) => {
                     let fixed = report(window.get(), turn);
                     assert!(store.write(expect, fixed.clone()));
                     let version = ObjectVersion::new(store.version);
--- a/crates/usage/tests/table.rs
+++ b/crates/usage/tests/table.rs
@@ -10,7 +10,7 @@
 
 fn source(number: u64, life: u64) -> CountSource {
     let box_id = format!("box-{number}").parse().expect("an id");
-    CountSource { box_id, life: Incarnation::new(life) }
+    CountSource { box_id, incarnation: Incarnation::new(life) }
 }
 
 fn customer(number: u64) -> CustomerName {
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -33,7 +33,7 @@
         config_generation: beat.generation.get(),
         targets_revision: targets_revision.get(),
         record: beat.record.as_ref().map(|record| member_to_wire(record, Duration::ZERO)),
-        told: beat.told.iter().map(|told| member_to_wire(&told.record, told.age)).collect(),
+        told: beat.relayed.iter().map(|told| member_to_wire(&told.record, told.age)).collect(),
     }
 }
 
@@ -48,7 +48,7 @@
         leaving: beat.leaving,
         generation: Generation::new(beat.config_generation),
         record: record.map(|told| told.record),
-        told: told?,
+        relayed: told?,
     })
 }
 
