--- a/crates/bench/src/suspects.rs
+++ b/crates/bench/src/suspects.rs
@@ -4,8 +4,8 @@
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
-use ids::{BirthTime, Moment, ServiceName, TargetLife, WorkDigest};
-use suspects::{CONDEMNING_ENDS, MOST_ENDS, SuspectBook, SuspectWrite, WorkEnd};
+use ids::{Moment, ServiceName, StartTime, TargetIncarnation, WorkDigest};
+use suspects::{MAX_CRASHES, QUARANTINE_CRASHES, SuspectTable, SuspectWrite, TargetCrash};
 
 use crate::table;
 
@@ -19,35 +19,35 @@
     let service: ServiceName = "desk".parse().expect("an id");
     let at = Moment::after_start(Duration::from_hours(1));
     let before = resident_kb();
-    let mut book = SuspectBook::default();
-    for number in 0..MOST_ENDS {
-        let life = TargetLife {
+    let mut book = SuspectTable::default();
+    for number in 0..MAX_CRASHES {
+        let life = TargetIncarnation {
             instance: format!("i-{number:010}").parse().expect("an id"),
-            born: BirthTime::new(1_779_616_324_046),
+            born: StartTime::new(1_779_616_324_046),
         };
         for work in 0..WORKS {
-            let end = WorkEnd { life: life.clone(), software: "v1".parse().ok() };
-            book.broke(at, work_digest(work), &service, end);
+            let end = TargetCrash { life: life.clone(), software: "v1".parse().ok() };
+            book.record_break(at, work_digest(work), &service, end);
         }
-        book.refuses(at, &life);
+        book.connection_refused(at, &life);
     }
     let after = resident_kb();
     let record = book.due_writes().into_iter().find_map(|write| match write {
-        SuspectWrite::Tell { record, .. } => Some(record),
+        SuspectWrite::Publish { record, .. } => Some(record),
         SuspectWrite::Clear { .. } => None,
     });
     let told = record.map_or(0, |mut record| {
         let whole = serde_json::to_vec(&record).unwrap_or_default().len();
-        record.ends.truncate(CONDEMNING_ENDS);
+        record.ends.truncate(QUARANTINE_CRASHES);
         println!(
-            "{CONDEMNING_ENDS} ends: {} bytes told",
+            "{QUARANTINE_CRASHES} ends: {} bytes told",
             serde_json::to_vec(&record).unwrap_or_default().len()
         );
         whole
     });
     let begun = Instant::now();
     for number in 0..VERDICTS {
-        black_box(book.suspected(work_digest(number as usize), &service));
+        black_box(book.suspected_versions(work_digest(number as usize), &service));
     }
     let verdict = begun.elapsed() / VERDICTS;
     let body = vec![7_u8; 1 << 10];
@@ -66,7 +66,7 @@
     ];
     let row = vec![
         book.len().to_string(),
-        MOST_ENDS.to_string(),
+        MAX_CRASHES.to_string(),
         told.to_string(),
         after.saturating_sub(before).to_string(),
         format!("{:.1}", verdict.as_secs_f64() * 1e6),
--- a/crates/coord/tests/lease_property.rs
+++ b/crates/coord/tests/lease_property.rs
@@ -6,7 +6,7 @@
 use arbtest::arbitrary::{Result as Drawn, Unstructured};
 use arbtest::arbtest;
 use coord::lease::{
-    LeaseAction, LeaseClaim, LeaseRecord, LeaseSighting, ReadOutcome, WriteOutcome,
+    LeaseAction, LeaseClaim, LeaseRecord, ReadOutcome, VersionedLease, WriteOutcome,
 };
 use ids::{BoxId, FencingToken, Incarnation, Moment, ObjectVersion};
 
@@ -22,7 +22,7 @@
 
 #[derive(Debug, Default)]
 struct Store {
-    object: Option<LeaseSighting>,
+    object: Option<VersionedLease>,
     versions: u64,
 }
 
@@ -34,7 +34,7 @@
         }
         self.versions += 1;
         let version = ObjectVersion::new(self.versions);
-        self.object = Some(LeaseSighting { version, record });
+        self.object = Some(VersionedLease { version, record });
         WriteOutcome::Applied(version)
     }
 }
@@ -133,7 +133,7 @@
 fn claim_with(token: u64) -> (LeaseClaim, Store) {
     let mut store = Store::default();
     let mut claim = claimant(0).claim;
-    claim.raise(Moment::START, FencingToken::new(token - 1));
+    claim.observe_token(Moment::START, FencingToken::new(token - 1));
     assert_eq!(claim.poll(Moment::START), Some(LeaseAction::Read));
     claim.read_done(Moment::START, ReadOutcome::Absent);
     let Some(LeaseAction::Write { expect, record }) = claim.poll(Moment::START) else {
--- a/crates/front/src/stream.rs
+++ b/crates/front/src/stream.rs
@@ -9,12 +9,13 @@
 use http_body_util::{Either, Full};
 use ids::{InstanceId, WorkDigest};
 use node::{
-    NodeView, RunningSlot, TargetChoice, WorkNeed, choose_target, note_break, request_work,
+    NodeView, SlotGuard, TargetChoice, WorkRequirements, choose_target, record_disconnect,
+    request_work,
 };
 use platform::headers;
-use routing::{Route, TargetFailure, TargetSlot};
+use routing::{ChosenTarget, Route, TargetFailure};
 use tokio::time::{self, Instant};
-use upstream::{SendError, TargetAnswer};
+use upstream::{SendError, TargetResponse};
 
 use crate::admission::AdmittedRequest;
 use crate::answer::{self, FrontBody, StreamBroken};
@@ -42,11 +43,12 @@
     let work = request_work(&head.method, &head.headers, &head.uri, &body);
     let mut tried: Vec<InstanceId> = Vec::new();
     for _ in 0..TRIES {
-        let need = WorkNeed { work, tried: &tried, again: false, may_wait: false };
+        let need =
+            WorkRequirements { work, tried: &tried, allow_tried: false, is_background: false };
         let slot = match choose_target(view, route, &need) {
             TargetChoice::Target(slot) => slot,
             TargetChoice::None => break,
-            TargetChoice::Condemned => return condemned(view, route, &id, work),
+            TargetChoice::Quarantined => return condemned(view, route, &id, work),
         };
         let place = slot.slot();
         let mut request = Request::new(Full::new(body.clone()));
@@ -64,10 +66,10 @@
                 tried.push(place.instance.clone());
                 continue;
             }
-            Ok(Err(SendError::NoRoom)) => break,
+            Ok(Err(SendError::LimitReached)) => break,
             Ok(Err(SendError::Broken(_))) => {
                 note_failure(view, place, TargetFailure::Broken);
-                note_break(view, place, work);
+                record_disconnect(view, place, work);
                 return unknown(view, &id, work);
             }
             Err(_elapsed) => {
@@ -75,14 +77,14 @@
                 return unknown(view, &id, work);
             }
         };
-        let facts = headers::answer_facts(answer.headers());
+        let facts = headers::response_info(answer.headers());
         if facts.request_id.as_deref().is_some_and(|other| other != id) {
             note_failure(view, place, TargetFailure::Broken);
             return unknown(view, &id, work);
         }
         if answer.status() == StatusCode::MISDIRECTED_REQUEST {
             note_failure(view, place, TargetFailure::Gone);
-            view.suspects().gone(view.now(), &place.instance);
+            view.suspects().instance_gone(view.now(), &place.instance);
             tried.push(place.instance.clone());
             continue;
         }
@@ -91,32 +93,32 @@
             tried.push(place.instance.clone());
             continue;
         }
-        view.metrics.ended("stream", "begun");
+        view.metrics.count_outcome("stream", "begun");
         if let Some(customer) = admitted.caller.customer() {
             view.usage.count(view.now(), customer);
         }
         return pass_stream(view, slot, answer, work);
     }
-    view.metrics.ended("stream", "not run");
+    view.metrics.count_outcome("stream", "not run");
     log::info!(target: "entry", request = id.as_str(), route:% = route.name, outcome = "not run"; "request ended");
     answer::not_run("no target free", Some(&id))
 }
 
 fn condemned(view: &NodeView, route: &Route, id: &str, work: WorkDigest) -> Response<FrontBody> {
-    view.metrics.ended("stream", "condemned");
-    view.metrics.ended("work", "condemned");
+    view.metrics.count_outcome("stream", "condemned");
+    view.metrics.count_outcome("work", "condemned");
     log::info!(
         target: "entry", request = id, route:% = route.name, work:% = work,
-        ends = view.suspects().ends(work), outcome = "condemned";
+        ends = view.suspects().crash_count(work), outcome = "condemned";
         "request ended"
     );
     answer::condemned(id)
 }
 
 fn unknown(view: &NodeView, id: &str, work: WorkDigest) -> Response<FrontBody> {
-    view.suspects().given_up(work);
+    view.suspects().caller_unanswered(work);
     view.suspects_changed();
-    view.metrics.ended("stream", "unknown");
+    view.metrics.count_outcome("stream", "unknown");
     log::info!(target: "entry", request = id, work:% = work, outcome = "unknown"; "request ended");
     answer::refuse(
         StatusCode::BAD_GATEWAY,
@@ -126,14 +128,14 @@
     )
 }
 
-fn note_failure(view: &NodeView, slot: &TargetSlot, failure: TargetFailure) {
-    view.board().failed(view.now(), &slot.instance, failure);
+fn note_failure(view: &NodeView, slot: &ChosenTarget, failure: TargetFailure) {
+    view.target_table().failed(view.now(), &slot.instance, failure);
 }
 
 fn pass_stream(
     view: &Arc<NodeView>,
-    slot: RunningSlot,
-    answer: TargetAnswer,
+    slot: SlotGuard,
+    answer: TargetResponse,
     work: WorkDigest,
 ) -> Response<FrontBody> {
     let (pieces, body) = Channel::new(PIECES);
@@ -144,12 +146,12 @@
     let view = Arc::clone(view);
     tokio::spawn(async move {
         match copy_pieces(answer, pieces).await {
-            StreamEnd::Whole => view.suspects().succeeded(work),
+            StreamEnd::Complete => view.suspects().succeeded(work),
             StreamEnd::CallerLeft => {}
             StreamEnd::Broken => {
                 note_failure(&view, slot.slot(), TargetFailure::Broken);
-                note_break(&view, slot.slot(), work);
-                view.suspects().given_up(work);
+                record_disconnect(&view, slot.slot(), work);
+                view.suspects().caller_unanswered(work);
                 view.suspects_changed();
             }
         }
@@ -159,14 +161,14 @@
 
 /// How the body of a stream ended.
 enum StreamEnd {
-    Whole,
+    Complete,
     CallerLeft,
     Broken,
 }
 
 /// Copies a body; ends early when the caller is gone, which closes the target's connection.
 async fn copy_pieces(
-    mut answer: TargetAnswer,
+    mut answer: TargetResponse,
     mut pieces: Sender<Bytes, StreamBroken>,
 ) -> StreamEnd {
     loop {
@@ -178,7 +180,7 @@
             }
             Ok(None) => {
                 answer.reuse();
-                return StreamEnd::Whole;
+                return StreamEnd::Complete;
             }
             Err(_broken) => {
                 pieces.abort(StreamBroken);
--- a/crates/gannetwayd/src/home.rs
+++ b/crates/gannetwayd/src/home.rs
@@ -8,8 +8,8 @@
 use ids::{ModelVersion, Moment, TargetId, TokenCount};
 use kameo::prelude::*;
 use placement::{
-    Admission, Ask, OrderOutcome, QueueEvent, Refusal, ReplicaReading, ReplicaStatus, TargetHint,
-    TargetQueue, TicketId,
+    Admission, AdmissionRequest, OrderOutcome, QueueEvent, Refusal, ReplicaReading, ReplicaStatus,
+    TargetHint, TargetQueue, TicketId,
 };
 use pools::{TargetKind, TargetRecord};
 use targets::{EngineClient, EngineState, TargetError};
@@ -53,7 +53,7 @@
 
 /// Asks for a place at the target.
 #[derive(Debug)]
-pub struct AskPlace(pub Ask);
+pub struct AskPlace(pub AdmissionRequest);
 
 /// The answer to [`AskPlace`].
 #[derive(Debug, Reply)]
@@ -186,10 +186,10 @@
         };
         self.queue.set_limit(limit);
         match documents.target(&self.record.id) {
-            Some(record) if !record.leaving => self.queue.told_staying(),
+            Some(record) if !record.leaving => self.queue.clear_leaving(),
             // Gone from the list counts as leaving, once a list is there at all.
-            Some(_) => self.queue.told_leaving(),
-            None if documents.ready => self.queue.told_leaving(),
+            Some(_) => self.queue.mark_leaving(),
+            None if documents.ready => self.queue.mark_leaving(),
             None => {}
         }
     }
@@ -246,11 +246,11 @@
     type Reply = PlaceAnswer;
 
     async fn handle(&mut self, msg: AskPlace, _: &mut Context<Self, PlaceAnswer>) -> PlaceAnswer {
-        let admission = self.queue.ask(self.ctx.clock.now(), msg.0);
+        let admission = self.queue.request_admission(self.ctx.clock.now(), msg.0);
         match admission {
-            Admission::Go(ticket) => PlaceAnswer::Go(ticket),
+            Admission::Admitted(ticket) => PlaceAnswer::Go(ticket),
             Admission::Refused(refusal) => PlaceAnswer::Refused(refusal),
-            Admission::Wait(ticket) => {
+            Admission::Queued(ticket) => {
                 let (waiter, word) = oneshot::channel();
                 self.waiters.insert(ticket, waiter);
                 self.settle();
@@ -292,7 +292,7 @@
     type Reply = ();
 
     async fn handle(&mut self, msg: BeginOrder, _: &mut Context<Self, ()>) {
-        self.queue.ordered(msg.version, msg.deadline);
+        self.queue.order_sent(msg.version, msg.deadline);
         self.settle();
     }
 }
@@ -301,7 +301,7 @@
     type Reply = ();
 
     async fn handle(&mut self, msg: EndOrder, _: &mut Context<Self, ()>) {
-        self.queue.order_ended(self.ctx.clock.now(), msg.version, msg.outcome);
+        self.queue.order_completed(self.ctx.clock.now(), msg.version, msg.outcome);
         self.settle();
     }
 }
--- a/crates/gannetwayd/src/keeper/actor.rs
+++ b/crates/gannetwayd/src/keeper/actor.rs
@@ -7,9 +7,9 @@
 use ids::{FencingToken, ModelVersion, Moment, StepNumber, VersionWindow};
 use kameo::prelude::*;
 use keeping::{
-    AttemptEnd, KeeperAction, KeeperRefusal, KeeperSettings, KeptState, Placement, StepKeeper,
+    AttemptOutcome, KeeperAction, KeeperRefusal, KeeperSettings, KeptState, Placement, StepKeeper,
 };
-use ledger::{HandOut, Pull, Settled, SlotSet, StepSnapshot, StepSpec};
+use ledger::{Pull, PulledBatch, Settled, SlotSet, StepSnapshot, StepSpec};
 use placement::TargetHint;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -58,7 +58,7 @@
 #[derive(Debug)]
 pub struct Pulled {
     /// The samples.
-    pub out: HandOut,
+    pub out: PulledBatch,
     /// The step's state.
     pub state: KeptState,
     /// Whether the pull should be answered now rather than wait for news.
@@ -132,7 +132,7 @@
 #[derive(Debug)]
 struct AttemptDone {
     placement: Placement,
-    end: AttemptEnd,
+    end: AttemptOutcome,
     hint: Option<TargetHint>,
 }
 
@@ -195,7 +195,7 @@
     }
 
     fn note_acting(&mut self) {
-        let acting = self.keeper.acting();
+        let acting = self.keeper.acting_token();
         if acting == self.acting {
             return;
         }
@@ -336,7 +336,7 @@
 
     async fn handle(&mut self, msg: HandOverSteps, ctx: &mut Context<Self, GivenUp>) -> GivenUp {
         self.keeper.prepare_hand_over();
-        let Some(token) = self.keeper.acting() else { return GivenUp::Nothing };
+        let Some(token) = self.keeper.acting_token() else { return GivenUp::Nothing };
         if self.keeper.in_flight() > 0 && !msg.force {
             return GivenUp::Busy;
         }
@@ -353,7 +353,7 @@
     type Reply = KeeperView;
 
     async fn handle(&mut self, _: QueryKeeper, _: &mut Context<Self, KeeperView>) -> KeeperView {
-        KeeperView { acting: self.keeper.acting(), steps: self.keeper.open_steps().collect() }
+        KeeperView { acting: self.keeper.acting_token(), steps: self.keeper.open_steps().collect() }
     }
 }
 
@@ -363,10 +363,10 @@
     async fn handle(&mut self, msg: AttemptDone, ctx: &mut Context<Self, ()>) {
         let now = self.ctx.clock.now();
         let label = match &msg.end {
-            AttemptEnd::Made(_) => AttemptLabel::Made,
-            AttemptEnd::NotRun { .. } => AttemptLabel::NotRun,
-            AttemptEnd::Unusable => AttemptLabel::Unusable,
-            AttemptEnd::TooOld => AttemptLabel::TooOld,
+            AttemptOutcome::Completed(_) => AttemptLabel::Made,
+            AttemptOutcome::NotRun { .. } => AttemptLabel::NotRun,
+            AttemptOutcome::Unusable => AttemptLabel::Unusable,
+            AttemptOutcome::TooOld => AttemptLabel::TooOld,
         };
         let settled = self.keeper.attempt_ended(now, &msg.placement, msg.end, msg.hint);
         let label = match settled {
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -87,7 +87,7 @@
 
 /// Keeps one kind current.
 #[derive(Debug)]
-pub struct KindFollower<S> {
+pub struct KindWatcher<S> {
     view: Arc<NodeView>,
     kind: Kind,
     /// How long changes may gather between two watches.
@@ -102,7 +102,7 @@
     news: Option<mpsc::Receiver<FedNews>>,
 }
 
-impl<S: KindSink> KindFollower<S> {
+impl<S: KindSink> KindWatcher<S> {
     /// A follower that knows nothing yet.
     pub fn new(view: &Arc<NodeView>, kind: Kind, gather: Duration, sink: S) -> Self {
         let view = Arc::clone(view);
@@ -116,19 +116,19 @@
         let (sender, news) = mpsc::channel(1);
         self.news = Some(news);
         // The duties tell who feeds.
-        if self.kind != Kind::Duties {
+        if self.kind != Kind::ClusterState {
             self.first = FirstLook::WaitsForFeed;
         }
         FedKind { kind: self.kind, revision: self.revision.subscribe(), news: sender }
     }
 
     /// Lets the first listing be some seconds old, where nothing is decided by what is not in it.
-    pub fn begin_old(&mut self) {
+    pub fn allow_stale_first_list(&mut self) {
         self.first = FirstLook::ListsOld;
     }
 
     /// Lets the box hear of the store's return from another one: nobody waits for what it does then.
-    pub const fn hear_later(&mut self) {
+    pub const fn defer_recovery_probe(&mut self) {
         self.may_hear_later = true;
     }
 
@@ -141,7 +141,7 @@
     }
 
     async fn follow(&mut self) {
-        let mut fed = self.view.feed.trust().states();
+        let mut fed = self.view.feed.freshness().states();
         let mut pace = ProbePace::default();
         let mut ask_at = Instant::now();
         let mut wait = self.usual_time();
@@ -187,7 +187,7 @@
             match answered {
                 Ok(told) => {
                     self.view.store_answered(self.kind, true);
-                    self.view.feed.proven(self.kind, self.view.now());
+                    self.view.feed.record_proof(self.kind, self.view.now());
                     pace.answered();
                     wait = self.usual_time();
                     let lists = matches!(told, FedNews::Listed(_));
@@ -217,7 +217,7 @@
                     wait = PROBE_TIME;
                     log::debug!(target: "node", kind:% = self.kind, error:% = error; "store call failed");
                     if self.kind == Kind::Configuration {
-                        let told = self.may_hear_later && self.view.feed.trust().answers();
+                        let told = self.may_hear_later && self.view.feed.freshness().answers();
                         ask_at = Instant::now() + pace.failed(told);
                     } else {
                         time::sleep(pace.failed(false)).await;
@@ -247,11 +247,11 @@
         let told = tokio::select! {
             biased;
             told = next_news(news) => told,
-            _nobody = time::timeout(FIRST_FEED, self.view.feed.trust().wait_for_nobody()) => None,
+            _nobody = time::timeout(FIRST_FEED, self.view.feed.freshness().wait_for_nobody()) => None,
         };
         let known = self.take(told?);
         // The same answer told of other kinds, and counts as heard once their tasks have taken them.
-        let mut fed = self.view.feed.trust().states();
+        let mut fed = self.view.feed.freshness().states();
         let _fed = time::timeout(FEED_RETURN, fed.wait_for(|fed| *fed)).await;
         Some(known)
     }
--- a/crates/placement/src/queue.rs
+++ b/crates/placement/src/queue.rs
@@ -25,7 +25,7 @@
 
 /// A wish to use the target.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask {
+pub struct AdmissionRequest {
     /// For whom; `None` for plain requests, which share one queue.
     pub trainer: Option<TrainerId>,
     /// Versions that will do; `None` where none matter.
@@ -38,9 +38,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
     /// Begin now.
-    Go(TicketId),
+    Admitted(TicketId),
     /// Wait for a [`QueueEvent`].
-    Wait(TicketId),
+    Queued(TicketId),
     /// It will not run here.
     Refused(Refusal),
 }
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone)]
 struct Waiting {
     ticket: TicketId,
-    ask: Ask,
+    ask: AdmissionRequest,
 }
 
 /// Admission to one target.
@@ -117,7 +117,7 @@
     }
 
     /// Takes a wish to use the target.
-    pub fn ask(&mut self, now: Moment, ask: Ask) -> Admission {
+    pub fn request_admission(&mut self, now: Moment, ask: AdmissionRequest) -> Admission {
         if now >= ask.deadline {
             return Admission::Refused(Refusal::not_run(NotRun::Expired, Duration::ZERO));
         }
@@ -128,7 +128,7 @@
         if self.can_start(&ask) && self.waiting.is_empty() {
             self.next_ticket += 1;
             self.start(ticket, &ask);
-            return Admission::Go(ticket);
+            return Admission::Admitted(ticket);
         }
         if self.is_full_for(ask.trainer.as_ref()) {
             return Admission::Refused(Refusal::not_run(NotRun::Overloaded, FULL_RETRY));
@@ -139,7 +139,7 @@
             self.shares.join(trainer, present.chain(self.running.values().flatten()));
         }
         self.waiting.push_back(Waiting { ticket, ask });
-        Admission::Wait(ticket)
+        Admission::Queued(ticket)
     }
 
     /// Notes that an admitted ask ended, having used `tokens`.
@@ -176,26 +176,26 @@
     }
 
     /// Notes that the target is said to be leaving.
-    pub const fn told_leaving(&mut self) {
-        self.replica.told_leaving();
+    pub const fn mark_leaving(&mut self) {
+        self.replica.mark_leaving();
     }
 
     /// Notes that the platform's list no longer says that the target is leaving. An engine is
     /// believed only in a new life; others have no life to tell, so the list decides.
-    pub fn told_staying(&mut self) {
+    pub fn clear_leaving(&mut self) {
         if self.kind != TargetKind::Engine && self.replica.status() == ReplicaStatus::Leaving {
             self.replica = ReplicaState::default();
         }
     }
 
     /// Notes that an order went out.
-    pub const fn ordered(&mut self, version: ModelVersion, deadline: Moment) {
-        self.replica.ordered(version, deadline);
+    pub const fn order_sent(&mut self, version: ModelVersion, deadline: Moment) {
+        self.replica.order_sent(version, deadline);
     }
 
     /// Takes the outcome of the order last sent.
-    pub fn order_ended(&mut self, now: Moment, version: ModelVersion, outcome: OrderOutcome) {
-        self.replica.order_ended(now, version, outcome);
+    pub fn order_completed(&mut self, now: Moment, version: ModelVersion, outcome: OrderOutcome) {
+        self.replica.order_completed(now, version, outcome);
     }
 
     /// Notes a stamp that contradicts the version believed in.
@@ -215,7 +215,7 @@
         mine >= (places / present.len()).max(1)
     }
 
-    fn refusal(&self, ask: &Ask) -> Option<Refusal> {
+    fn refusal(&self, ask: &AdmissionRequest) -> Option<Refusal> {
         let status = self.replica.status();
         let (reason, retry_after) = match status {
             ReplicaStatus::Leaving => (NotRun::Leaving, GONE_RETRY),
@@ -223,7 +223,7 @@
             ReplicaStatus::InDoubt => (NotRun::InDoubt, DOUBT_RETRY),
             ReplicaStatus::Serving(held) | ReplicaStatus::Swapping(held) => {
                 let window = ask.window?;
-                if window.holds(held) {
+                if window.contains(held) {
                     return None;
                 }
                 let too_old = window.is_too_old(held);
@@ -236,19 +236,19 @@
         Some(Refusal::not_run(reason, retry_after))
     }
 
-    fn can_start(&self, ask: &Ask) -> bool {
+    fn can_start(&self, ask: &AdmissionRequest) -> bool {
         if self.running.len() >= self.limit {
             return false;
         }
         match self.replica.status() {
-            ReplicaStatus::Serving(held) => ask.window.is_none_or(|window| window.holds(held)),
+            ReplicaStatus::Serving(held) => ask.window.is_none_or(|window| window.contains(held)),
             // Plain services and scorers need no reading of a version first.
             ReplicaStatus::Unread => self.kind != TargetKind::Engine,
             _ => false,
         }
     }
 
-    fn start(&mut self, ticket: TicketId, ask: &Ask) {
+    fn start(&mut self, ticket: TicketId, ask: &AdmissionRequest) {
         self.running.insert(ticket, ask.trainer.clone());
     }
 
--- a/crates/sessions/src/world/boxes.rs
+++ b/crates/sessions/src/world/boxes.rs
@@ -3,7 +3,7 @@
 use coord::lease::LeaseAction;
 use ids::{BoxId, Incarnation, Moment};
 use keeping::{KeeperAction, KeeperSettings, Placement, StepKeeper};
-use placement::TargetChoice;
+use placement::PlacementPolicy;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use super::{World, box_name, name, shown};
 use crate::events::{BoxIndex, Event, Question, Reply, RunId};
 
-impl<C: TargetChoice + Default> World<C> {
+impl<C: PlacementPolicy + Default> World<C> {
     pub(super) fn at_box(&mut self, now: Moment, index: BoxIndex, event: Event) {
         let site = &mut self.boxes[index];
         if site.stopped {
@@ -118,7 +118,7 @@
         let Some(keeper) = &mut site.keeper else { return };
         let actions = keeper.poll(now);
         let wake = keeper.next_at(now);
-        let acting = keeper.acting();
+        let acting = keeper.acting_token();
         if acting != site.acting {
             site.acting = acting;
             let said = match acting {
--- a/crates/sessions/src/world/faults.rs
+++ b/crates/sessions/src/world/faults.rs
@@ -1,13 +1,13 @@
 //! What goes wrong.
 
 use ids::{ModelVersion, Moment};
-use placement::TargetChoice;
+use placement::PlacementPolicy;
 
 use super::{SimBox, World};
 use crate::events::{BoxIndex, Event};
 use crate::faults::Fault;
 
-impl<C: TargetChoice + Default> World<C> {
+impl<C: PlacementPolicy + Default> World<C> {
     pub(super) fn fault(&mut self, now: Moment, fault: Fault) {
         self.say(now, format!("fault: {fault:?}"));
         match fault {
@@ -70,7 +70,7 @@
         let successor = (index + 1) % self.boxes.len();
         let life = self.boxes[index].life;
         if let Some(keeper) = &mut self.boxes[index].keeper
-            && let Some(token) = keeper.acting()
+            && let Some(token) = keeper.acting_token()
         {
             keeper.prepare_hand_over();
             let (snapshots, release) = keeper.hand_over(now);
--- a/crates/sessions/src/world/swaps.rs
+++ b/crates/sessions/src/world/swaps.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use ::swaps::{SwapAction, SwapOrder};
+use ::swaps::{RolloutAction, SwapOrder};
 use ids::{Incarnation, ModelVersion, Moment, TargetId};
-use placement::{OrderOutcome, TargetChoice};
+use placement::{OrderOutcome, PlacementPolicy};
 use standins::engine_model::OrderStart;
 
 use super::World;
@@ -13,7 +13,7 @@
 /// Time between the conductor's looks.
 const CONDUCT_EVERY: Duration = Duration::from_millis(100);
 
-impl<C: TargetChoice + Default> World<C> {
+impl<C: PlacementPolicy + Default> World<C> {
     pub(super) fn conduct(&mut self, now: Moment) {
         let engines = self.engines.iter().filter(|engine| engine.leaving_since.is_none());
         let replicas: Vec<(TargetId, bool)> =
@@ -21,8 +21,8 @@
         self.conductor.want(self.pool.version, self.pool.swap, replicas);
         for action in self.conductor.poll(now) {
             match action {
-                SwapAction::Order(order) => self.order(now, order),
-                SwapAction::Read(id) => {
+                RolloutAction::Order(order) => self.order(now, order),
+                RolloutAction::Read(id) => {
                     let reading = self.engine(&id).reading(now);
                     let version = reading.version.filter(|_| !reading.loading);
                     let reading = Some((reading.incarnation, version));
@@ -36,7 +36,7 @@
     pub(super) fn order(&mut self, now: Moment, order: SwapOrder) {
         self.say(now, format!("{} ordered to load version {}", order.target, order.version));
         let engine = self.engine(&order.target);
-        engine.queue.ordered(order.version, now + order.life);
+        engine.queue.order_sent(order.version, now + order.life);
         if engine.refuse_orders > 0 {
             engine.refuse_orders -= 1;
             self.send(now, Event::OrderEnded(order.target, Some(false)));
@@ -64,8 +64,8 @@
             None => OrderOutcome::Unknown,
         };
         self.say(now, format!("{id}'s order ended: {ended:?}"));
-        self.engine(id).queue.order_ended(now, version, ended);
-        self.conductor.ordered(now, id, outcome);
+        self.engine(id).queue.order_completed(now, version, ended);
+        self.conductor.order_completed(now, id, outcome);
         self.settle(now, id);
     }
 
--- a/crates/shards/src/claim.rs
+++ b/crates/shards/src/claim.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use coord::lease::{
-    LeaseAction, LeaseClaim, LeaseRecord, LeaseSighting, ReadOutcome, WriteOutcome,
+    LeaseAction, LeaseClaim, LeaseRecord, ReadOutcome, VersionedLease, WriteOutcome,
 };
 use ids::{FencingToken, Moment, ObjectVersion, ServiceName, whole_millis};
 use joblog::shard_of;
@@ -79,7 +79,7 @@
     /// A claim that has read nothing yet.
     pub fn new(ctx: &ShardContext, subject: DutySubject) -> Self {
         let me = &ctx.me;
-        let life = ctx.view.usage.life();
+        let life = ctx.view.usage.incarnation();
         let claim = LeaseClaim::new(me.box_id.clone(), life, me.address.clone(), TERM)
             .with_gap(ctx.settings.order_gap + GAP_SLACK);
         Self {
@@ -141,7 +141,7 @@
 fn stands_in(ctx: &ShardContext, claim: &DutyClaim) -> bool {
     let Some(shards) = ctx.view.shards() else { return false };
     let shard = shard_of(claim.subject.shard_name(), shards);
-    let duties = ctx.view.duties();
+    let duties = ctx.view.assignments();
     let Some(sighting) = duties.plan(shard) else { return false };
     let Some(rank) = sighting.plan.rank(&ctx.me.box_id).filter(|rank| *rank > 0) else {
         return false;
@@ -168,7 +168,7 @@
             return;
         }
         if let Some(note) = note {
-            claim.note(note);
+            claim.record_report(note);
         }
         claim.poll(now)
     };
@@ -199,7 +199,7 @@
             note_answer(ctx, read.is_ok());
             let outcome = match read {
                 Ok(Some(stored)) => match stored.parse::<LeaseRecord>() {
-                    Ok(record) => ReadOutcome::Found(LeaseSighting {
+                    Ok(record) => ReadOutcome::Found(VersionedLease {
                         version: ObjectVersion::new(stored.revision),
                         record,
                     }),
@@ -214,7 +214,7 @@
             let mut claim = lock(&held.claim);
             claim.read_done(ctx.view.now(), outcome);
             // None to be seen is no claim of this box's either: the one that serves takes it.
-            *lock(&held.others) = !claim.is_held() && !claim.takes_own();
+            *lock(&held.others) = !claim.is_held() && !claim.held_by_earlier_incarnation();
         }
         LeaseAction::Write { expect, record } => {
             let before = lock(&held.claim).other_holder().cloned();
@@ -229,7 +229,7 @@
             let outcome = match written {
                 Ok(revision) => WriteOutcome::Applied(ObjectVersion::new(revision)),
                 Err(StoreError::Conflict(_)) => WriteOutcome::Conflict,
-                Err(StoreError::NotDone(_)) => WriteOutcome::NotApplied,
+                Err(StoreError::NotApplied(_)) => WriteOutcome::NotApplied,
                 Err(_) => WriteOutcome::Unknown,
             };
             let now = ctx.view.now();
--- a/crates/shards/src/forming.rs
+++ b/crates/shards/src/forming.rs
@@ -5,11 +5,12 @@
 
 use ids::ShardIndex;
 use joblog::{
-    CopyHolder, DutyIntent, DutyView, EpochFormer, EpochId, FormFault, FormStep, PlanWrite,
-    ReadPlan, ShardDuty, ShardPlan, first_ranked, shard_duty,
+    EpochId, EpochTakeover, PlanWriteOutcome, ShardPlan, StorageBox, TakeoverDecision,
+    TakeoverError, TakeoverPreference, TakeoverStep, TakeoverView, VersionedPlan, decide_takeover,
+    rank_initial_servers,
 };
 use node::StoreCall;
-use node::duties::{DutyBoard, PlanSighting, shard_object};
+use node::assignments::{AssignmentTable, ObservedPlan, shard_object};
 use platform::{Kind, StoreError};
 use rand::Rng;
 use tokio::sync::mpsc;
@@ -37,14 +38,14 @@
     let mut changes = keeper.changes();
     loop {
         drop_superseded(&ctx, &keeper);
-        if ctx.view.duties().is_read() && wants_shard(&ctx, &keeper, &mut no_plan_since) {
+        if ctx.view.assignments().is_read() && wants_shard(&ctx, &keeper, &mut no_plan_since) {
             match form_epoch(&ctx, &keeper).await {
                 Ok((log, places)) => {
                     serve_epoch(&ctx, &keeper, log, &places).await;
                     continue;
                 }
                 Err(fault) => {
-                    if fault == FormFault::Superseded {
+                    if fault == TakeoverError::Superseded {
                         keeper.reset();
                     }
                     log::info!(target: "shard", shard = shard.get(), why:% = fault; "not taken");
@@ -61,7 +62,7 @@
 /// Forgets the jobs of a shard that another box serves under a later plan.
 fn drop_superseded(ctx: &ShardContext, keeper: &ShardKeeper) {
     let Some(held) = keeper.book_epoch() else { return };
-    let superseded = ctx.view.duties().plan(keeper.shard()).is_some_and(|sighting| {
+    let superseded = ctx.view.assignments().plan(keeper.shard()).is_some_and(|sighting| {
         let plan = &sighting.plan;
         plan.epoch != held
             && plan.epoch.token > held.token
@@ -80,7 +81,7 @@
 ) -> bool {
     let shard = keeper.shard();
     let now = ctx.view.now();
-    let duties = ctx.view.duties();
+    let duties = ctx.view.assignments();
     let sighting = duties.plan(shard);
     // Two boxes that make copies at once only slow each other.
     if sighting.is_some_and(|sighting| box_before_forms(ctx, shard, &sighting.plan))
@@ -96,30 +97,32 @@
     };
     let plan = sighting.map(|sighting| &sighting.plan);
     let server = plan.and_then(ShardPlan::server);
-    let view = DutyView {
+    let view = TakeoverView {
         me: &ctx.me.box_id,
         plan,
         has_copy: plan.is_some_and(|plan| ctx.copies.folder().has(shard, &plan.epoch)),
         lost_before: plan.map_or(0, |plan| lost_before(ctx, shard, plan)),
-        server_silent: sighting.map(|told| server_silence(ctx, shard, told)).unwrap_or_default(),
+        server_unresponsive_for: sighting
+            .map(|told| server_silence(ctx, shard, told))
+            .unwrap_or_default(),
         server_restarts: server.is_some_and(|server| ctx.peers.restarts(&server.box_id)),
         first_rank: if plan.is_none() { first_rank(ctx, shard, &duties) } else { 0 },
         no_plan_for,
-        intent: if keeper.take_asked() {
-            DutyIntent::Asked
+        preference: if keeper.take_asked() {
+            TakeoverPreference::Requested
         } else if ctx.is_leaving() {
-            DutyIntent::Leaves
+            TakeoverPreference::Avoid
         } else {
-            DutyIntent::Stays
+            TakeoverPreference::Neutral
         },
     };
-    shard_duty(&view) == ShardDuty::Take
+    decide_takeover(&view) == TakeoverDecision::TakeOver
 }
 
 /// Place of this box among those that could begin the shard.
-fn first_rank(ctx: &ShardContext, shard: ShardIndex, duties: &DutyBoard) -> usize {
-    let boxes: Vec<CopyHolder> = duties.at_work().into_iter().cloned().collect();
-    let ranked = first_ranked(shard, &boxes);
+fn first_rank(ctx: &ShardContext, shard: ShardIndex, duties: &AssignmentTable) -> usize {
+    let boxes: Vec<StorageBox> = duties.active_boxes().into_iter().cloned().collect();
+    let ranked = rank_initial_servers(shard, &boxes);
     ranked.iter().position(|copy| copy.box_id == ctx.me.box_id).unwrap_or(boxes.len())
 }
 
@@ -140,7 +143,7 @@
 
 /// How long the plan's server has not said that it serves the shard. A plan that was just learnt: its
 /// server has had no time to tell.
-fn server_silence(ctx: &ShardContext, shard: ShardIndex, sighting: &PlanSighting) -> Duration {
+fn server_silence(ctx: &ShardContext, shard: ShardIndex, sighting: &ObservedPlan) -> Duration {
     let now = ctx.view.now();
     let plan = &sighting.plan;
     let Some(server) = plan.server() else { return Duration::ZERO };
@@ -158,7 +161,7 @@
     let (sender, work) = mpsc::channel(QUEUE);
     let ended = CancellationToken::new();
     let epoch = log.epoch.clone();
-    let partners: Vec<CopyHolder> = log.partners.clone();
+    let partners: Vec<StorageBox> = log.partners.clone();
     let counts = keeper.book().counts();
     log::info!(
         target: "shard", shard = keeper.shard().get(), epoch:% = epoch, jobs = counts.jobs,
@@ -187,7 +190,7 @@
 async fn superseded(ctx: &ShardContext, shard: ShardIndex, epoch: &EpochId) {
     let mut changes = ctx.view.changes();
     loop {
-        let later = ctx.view.duties().plan(shard).is_some_and(|sighting| {
+        let later = ctx.view.assignments().plan(shard).is_some_and(|sighting| {
             sighting.plan.epoch != *epoch && sighting.plan.epoch.token >= epoch.token
         });
         if later || changes.changed().await.is_err() {
@@ -197,7 +200,7 @@
 }
 
 /// Returns once a box with a copy is to be emptied.
-async fn partner_leaves(ctx: &ShardContext, partners: &[CopyHolder]) {
+async fn partner_leaves(ctx: &ShardContext, partners: &[StorageBox]) {
     loop {
         time::sleep(LOOK_EVERY).await;
         let retiring = ctx.retiring().clone();
@@ -207,71 +210,71 @@
     }
 }
 
-/// Forms a new epoch that this box serves, by the steps of [`EpochFormer`].
+/// Forms a new epoch that this box serves, by the steps of [`EpochTakeover`].
 async fn form_epoch(
     ctx: &Arc<ShardContext>,
     keeper: &Arc<ShardKeeper>,
-) -> Result<(EpochLog, ResultPlaces), FormFault> {
+) -> Result<(EpochLog, ResultPlaces), TakeoverError> {
     let shard = keeper.shard();
     let number = u64::from(rand::rng().random::<u32>());
-    let mut former = EpochFormer::new(ctx.me.clone(), number, keeper.book_epoch());
+    let mut former = EpochTakeover::new(ctx.me.clone(), number, keeper.book_epoch());
     let mut copy = None;
     loop {
-        if former.wants_partners() {
-            former.partners(ctx.choose_copies(shard));
+        if former.needs_partners() {
+            former.set_partners(ctx.choose_copies(shard));
         }
         match former.step() {
-            FormStep::ReadPlan => former.plan_read(read_plan(ctx, shard).await),
-            FormStep::BeginEmpty => {
+            TakeoverStep::ReadPlan => former.plan_read(read_plan(ctx, shard).await),
+            TakeoverStep::BeginEmpty => {
                 keeper.reset();
-                former.base_read(true);
+                former.base_loaded(true);
             }
-            FormStep::CloseAndRead(epoch) => {
-                former.base_read(close_and_read(ctx, keeper, epoch).await);
+            TakeoverStep::CloseAndRead(epoch) => {
+                former.base_loaded(close_and_read(ctx, keeper, epoch).await);
             }
-            FormStep::Copy { epoch, partners } => {
-                keeper.book().close_log();
+            TakeoverStep::Copy { epoch, partners } => {
+                keeper.book().suspend_appends();
                 keeper.set_forming(true);
                 copy = copy_book(ctx, keeper, &epoch, &partners).await;
                 keeper.set_forming(false);
-                former.copied(copy.is_some());
+                former.copies_written(copy.is_some());
             }
-            FormStep::WritePlan { base, plan } => {
+            TakeoverStep::WritePlan { base, plan } => {
                 let end = write_plan(ctx, shard, base, &plan).await;
-                if end == PlanWrite::NoAnswer {
+                if end == PlanWriteOutcome::NoAnswer {
                     time::sleep(RETRY_PAUSE).await;
                 }
-                former.written(end);
+                former.plan_written(end);
             }
-            FormStep::CheckPlan => {
+            TakeoverStep::CheckPlan => {
                 let read = read_plan(ctx, shard).await;
                 if read.is_err() {
                     time::sleep(RETRY_PAUSE).await;
                 }
                 former.plan_read(read);
             }
-            FormStep::Serve { revision, plan } => {
+            TakeoverStep::Serve { revision, plan } => {
                 let (epoch, partners) = (plan.epoch.clone(), plan.copies[1..].to_vec());
-                note_plan(ctx, shard, ReadPlan { revision, plan });
+                note_plan(ctx, shard, VersionedPlan { revision, plan });
                 ctx.copies.clean(shard, epoch.clone()).await;
                 let places = copy.as_ref().map(|copy| copy.places.clone()).unwrap_or_default();
                 let log = EpochLog { epoch, file: copy.map(|copy| copy.file), partners };
                 return Ok((log, places));
             }
-            FormStep::Fail(fault) => return Err(fault),
+            TakeoverStep::Fail(fault) => return Err(fault),
         }
     }
 }
 
-fn note_plan(ctx: &ShardContext, shard: ShardIndex, read: ReadPlan) {
+fn note_plan(ctx: &ShardContext, shard: ShardIndex, read: VersionedPlan) {
     let seen_at = ctx.view.now();
-    let sighting = PlanSighting { revision: read.revision, plan: read.plan, seen_at };
-    ctx.view.duties().put_plan(shard, sighting);
+    let sighting = ObservedPlan { revision: read.revision, plan: read.plan, seen_at };
+    ctx.view.assignments().put_plan(shard, sighting);
 }
 
-async fn read_plan(ctx: &ShardContext, shard: ShardIndex) -> Result<Option<ReadPlan>, ()> {
-    ctx.view.metrics.store_call(Kind::Duties, StoreCall::Read);
-    let stored = ctx.view.store.get(Kind::Duties, &shard_object(shard)).await;
+async fn read_plan(ctx: &ShardContext, shard: ShardIndex) -> Result<Option<VersionedPlan>, ()> {
+    ctx.view.metrics.store_call(Kind::ClusterState, StoreCall::Read);
+    let stored = ctx.view.store.get(Kind::ClusterState, &shard_object(shard)).await;
     let stored = stored.map_err(|error| {
         log::debug!(target: "shard", shard = shard.get(), error:% = error; "plan not read");
     })?;
@@ -279,7 +282,7 @@
     let plan = stored.parse().map_err(|error| {
         log::warn!(target: "shard", shard = shard.get(), error:% = error; "plan refused");
     })?;
-    let read = ReadPlan { revision: stored.revision, plan };
+    let read = VersionedPlan { revision: stored.revision, plan };
     note_plan(ctx, shard, read.clone());
     Ok(Some(read))
 }
@@ -311,19 +314,19 @@
     shard: ShardIndex,
     base: Option<u64>,
     plan: &ShardPlan,
-) -> PlanWrite {
+) -> PlanWriteOutcome {
     let name = shard_object(shard);
-    ctx.view.metrics.store_call(Kind::Duties, StoreCall::Write);
+    ctx.view.metrics.store_call(Kind::ClusterState, StoreCall::Write);
     let written = match base {
-        Some(base) => ctx.view.store.replace(Kind::Duties, &name, base, plan).await,
-        None => ctx.view.store.create(Kind::Duties, &name, plan).await,
+        Some(base) => ctx.view.store.replace(Kind::ClusterState, &name, base, plan).await,
+        None => ctx.view.store.create(Kind::ClusterState, &name, plan).await,
     };
     match written {
-        Ok(revision) => PlanWrite::Done(revision),
-        Err(StoreError::Conflict(_)) => PlanWrite::Conflict,
+        Ok(revision) => PlanWriteOutcome::Done(revision),
+        Err(StoreError::Conflict(_)) => PlanWriteOutcome::Conflict,
         Err(error) => {
             log::warn!(target: "shard", shard = shard.get(), error:% = error; "plan not written");
-            PlanWrite::NoAnswer
+            PlanWriteOutcome::NoAnswer
         }
     }
 }
--- a/crates/shards/src/reports.rs
+++ b/crates/shards/src/reports.rs
@@ -9,10 +9,10 @@
 
 use ids::{BoxId, FencingToken, Moment, ObjectVersion};
 use node::StoreCall;
-use platform::accounts::AccountError;
+use platform::accounting::AccountingError;
 use platform::{Kind, StoreError, Stored};
 use usage::{
-    FixedReport, ReportAction, ReportPlan, ReportTimes, SendOutcome, StoreOutcome, TableVersion,
+    ReportAction, ReportPlan, ReportTimes, SendOutcome, StoreOutcome, TableVersion, UsageReport,
     UsageWindow,
 };
 use wire::peer::UsageCell;
@@ -111,7 +111,7 @@
         let went_on = match self.plan.poll(time, all_heard) {
             None => true,
             Some(ReportAction::Read) => self.read(&duty.ctx).await,
-            Some(ReportAction::Fix { window, expect }) => {
+            Some(ReportAction::Commit { window, expect }) => {
                 self.fix(&duty.ctx, window, expect, all_heard).await
             }
             Some(ReportAction::Send(report)) => self.send(duty, report).await,
@@ -128,7 +128,7 @@
             Ok(None) => StoreOutcome::Absent,
             Err(error) => {
                 log::debug!(target: "usage", error:% = error; "last report not read");
-                StoreOutcome::NotDone
+                StoreOutcome::NotApplied
             }
         };
         let done = matches!(outcome, StoreOutcome::Holds(..) | StoreOutcome::Absent);
@@ -144,7 +144,7 @@
         all_heard: bool,
     ) -> bool {
         let counts = ctx.view.usage.totals(window);
-        let report = FixedReport { window, counts };
+        let report = UsageReport { window, counts };
         ctx.view.metrics.store_call(Kind::Leases, StoreCall::Write);
         let store = &ctx.view.store;
         let written = if expect == ObjectVersion::default() {
@@ -160,29 +160,29 @@
         );
         let outcome = match written {
             Ok(revision) => StoreOutcome::Holds(ObjectVersion::new(revision), report),
-            Err(StoreError::NotDone(_)) => StoreOutcome::NotDone,
+            Err(StoreError::NotApplied(_)) => StoreOutcome::NotApplied,
             Err(_) => StoreOutcome::Unsure,
         };
         let done = matches!(outcome, StoreOutcome::Holds(..));
-        self.plan.fix_done(outcome);
+        self.plan.commit_done(outcome);
         done
     }
 
-    async fn send(&mut self, duty: &mut AccountDuty, report: FixedReport) -> bool {
+    async fn send(&mut self, duty: &mut AccountDuty, report: UsageReport) -> bool {
         let Some(hand) = duty.hand() else { return false };
         let sent = duty.client.report_usage(&hand, report.window.get(), &report.counts).await;
         duty.note_call(sent);
         let (outcome, word) = match sent {
             Ok(()) => (SendOutcome::Taken, "taken"),
-            Err(AccountError::Refused(_) | AccountError::NoneToBeHad) => {
+            Err(AccountingError::Refused(_) | AccountingError::NoCapacity) => {
                 (SendOutcome::Refused, "refused")
             }
-            Err(AccountError::NoAnswer | AccountError::NotNow(_)) => {
+            Err(AccountingError::NoAnswer | AccountingError::Unavailable(_)) => {
                 (SendOutcome::Failed, "failed")
             }
         };
         let metrics = &duty.ctx.view.metrics;
-        metrics.ended("usage_report", word);
+        metrics.count_outcome("usage_report", word);
         if outcome == SendOutcome::Taken {
             metrics.window_reported(report.window.get());
         }
@@ -199,17 +199,17 @@
 /// Whether all other boxes at work were heard just now, and so have told what they know of use.
 fn all_heard(ctx: &ShardContext) -> bool {
     let boxes: Vec<BoxId> =
-        ctx.view.duties().at_work().iter().map(|copy| copy.box_id.clone()).collect();
+        ctx.view.assignments().active_boxes().iter().map(|copy| copy.box_id.clone()).collect();
     let others = boxes.iter().filter(|box_id| **box_id != ctx.me.box_id);
     ctx.peers.all_heard(ctx.view.now(), others)
 }
 
 fn read_report(stored: &Stored) -> StoreOutcome {
-    match stored.parse::<FixedReport>() {
+    match stored.parse::<UsageReport>() {
         Ok(report) => StoreOutcome::Holds(ObjectVersion::new(stored.revision), report),
         Err(error) => {
             log::warn!(target: "usage", error:% = error; "last report refused");
-            StoreOutcome::NotDone
+            StoreOutcome::NotApplied
         }
     }
 }
--- a/crates/suspects/tests/property.rs
+++ b/crates/suspects/tests/property.rs
@@ -1,9 +1,9 @@
 //! Lethal and innocent work at the same targets, in any order.
 
 use arbtest::{arbitrary, arbtest};
-use ids::{BirthTime, Moment, ServiceName, TargetLife, WorkDigest};
+use ids::{Moment, ServiceName, StartTime, TargetIncarnation, WorkDigest};
 use std::time::Duration;
-use suspects::{SURE_ENDS, SuspectBook, WorkEnd};
+use suspects::{SuspectTable, TargetCrash, UNCONDITIONAL_QUARANTINE_CRASHES};
 
 const ROUND: Duration = Duration::from_secs(1);
 const INNOCENT: u8 = 12;
@@ -20,19 +20,19 @@
 fn play(
     u: &mut arbitrary::Unstructured<'_>,
     lethal: u8,
-    mut check: impl FnMut(&SuspectBook, Moment),
+    mut check: impl FnMut(&SuspectTable, Moment),
 ) -> arbitrary::Result<()> {
-    let mut book = SuspectBook::default();
+    let mut book = SuspectTable::default();
     let mut now = Moment::START;
     for round in 0..40 {
         now = now + ROUND;
-        let life = TargetLife {
+        let life = TargetIncarnation {
             instance: format!("i-{round}").parse().expect("an id"),
-            born: BirthTime::default(),
+            born: StartTime::default(),
         };
         let mut beside = Vec::new();
         for number in 0..lethal {
-            let known = !book.condemned(now, work(true, number), &service()).is_empty();
+            let known = !book.quarantined_versions(now, work(true, number), &service()).is_empty();
             if !known && u.ratio(1, 3)? {
                 beside.push(work(true, number));
             }
@@ -45,13 +45,18 @@
         }
         for work in &beside {
             if ends {
-                book.broke(now, *work, &service(), WorkEnd { life: life.clone(), software: None });
+                book.record_break(
+                    now,
+                    *work,
+                    &service(),
+                    TargetCrash { life: life.clone(), software: None },
+                );
             } else {
                 book.succeeded(*work);
             }
         }
         if ends {
-            book.refuses(now, &life);
+            book.connection_refused(now, &life);
         }
         check(&book, now + ROUND);
     }
@@ -70,9 +75,13 @@
         play(u, 1, |book, now| {
             for number in 0..INNOCENT {
                 let innocent = work(false, number);
-                let condemned = book.condemned(now, innocent, &service());
+                let condemned = book.quarantined_versions(now, innocent, &service());
                 // Without a bound two lethal ones could hide behind each other for ever.
-                assert!(condemned.is_empty() || book.ends(innocent) >= SURE_ENDS, "{number}");
+                assert!(
+                    condemned.is_empty()
+                        || book.crash_count(innocent) >= UNCONDITIONAL_QUARANTINE_CRASHES,
+                    "{number}"
+                );
             }
         })
     });
@@ -83,9 +92,13 @@
     each_seed(|u| {
         play(u, 4, |book, now| {
             for number in 0..4 {
-                let ends = book.ends(work(true, number));
-                let known = !book.condemned(now, work(true, number), &service()).is_empty();
-                assert!(ends < SURE_ENDS || known, "{ends} ends of {number}");
+                let ends = book.crash_count(work(true, number));
+                let known =
+                    !book.quarantined_versions(now, work(true, number), &service()).is_empty();
+                assert!(
+                    ends < UNCONDITIONAL_QUARANTINE_CRASHES || known,
+                    "{ends} ends of {number}"
+                );
             }
         })
     });
--- a/crates/swaps/src/conductor.rs
+++ b/crates/swaps/src/conductor.rs
@@ -30,10 +30,10 @@
 
 /// What the conductor wants done.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum SwapAction {
-    /// Send the order, then call [`SwapConductor::ordered`].
+pub enum RolloutAction {
+    /// Send the order, then call [`RolloutCoordinator::order_completed`].
     Order(SwapOrder),
-    /// Read the replica, then call [`SwapConductor::read`] or [`SwapConductor::read_failed`].
+    /// Read the replica, then call [`RolloutCoordinator::read`] or [`RolloutCoordinator::read_failed`].
     Read(TargetId),
 }
 
@@ -47,7 +47,7 @@
     /// Replicas read to hold the version.
     pub done: usize,
     /// Replicas with an order under way.
-    pub under_way: usize,
+    pub in_flight: usize,
     /// Replicas whose last order ended without a definite answer, or that were never read.
     pub in_doubt: usize,
 }
@@ -76,7 +76,7 @@
 
 /// Rolls versions out over one domain's replicas of one pool.
 #[derive(Debug, Clone)]
-pub struct SwapConductor {
+pub struct RolloutCoordinator {
     token: FencingToken,
     wanted: ModelVersion,
     policy: SwapPolicy,
@@ -84,7 +84,7 @@
     replicas: BTreeMap<TargetId, Replica>,
 }
 
-impl SwapConductor {
+impl RolloutCoordinator {
     /// A conductor that begins at `now` under a fresh token.
     pub const fn new(now: Moment, token: FencingToken) -> Self {
         Self {
@@ -127,7 +127,7 @@
     }
 
     /// The actions due at `now`.
-    pub fn poll(&mut self, now: Moment) -> Vec<SwapAction> {
+    pub fn poll(&mut self, now: Moment) -> Vec<RolloutAction> {
         let mut actions = Vec::new();
         let mut free = self.most_under_way().saturating_sub(self.count(ReplicaView::Ordered));
         let (wanted, token) = (self.wanted, self.token);
@@ -145,7 +145,7 @@
                     replica.view = ReplicaView::Ordered;
                     replica.ordered = Some(wanted);
                     replica.trust_from = now + ORDER_LIFE;
-                    actions.push(SwapAction::Order(SwapOrder {
+                    actions.push(RolloutAction::Order(SwapOrder {
                         target: id.clone(),
                         version: wanted,
                         token,
@@ -154,7 +154,7 @@
                 }
                 ReplicaView::Holds(..) | ReplicaView::Unknown => {
                     replica.reading = true;
-                    actions.push(SwapAction::Read(id.clone()));
+                    actions.push(RolloutAction::Read(id.clone()));
                 }
             }
         }
@@ -163,7 +163,7 @@
 
     /// Takes the outcome of an order: `true` when the engine says it holds the version,
     /// `false` when it refused and nothing changed, `None` without a definite answer.
-    pub fn ordered(&mut self, now: Moment, target: &TargetId, outcome: Option<bool>) {
+    pub fn order_completed(&mut self, now: Moment, target: &TargetId, outcome: Option<bool>) {
         let Some(replica) = self.replicas.get_mut(target) else {
             return;
         };
@@ -230,7 +230,7 @@
             wanted,
             replicas: self.replicas.len(),
             done: self.replicas.values().filter(done).count(),
-            under_way: self.count(ReplicaView::Ordered),
+            in_flight: self.count(ReplicaView::Ordered),
             in_doubt: self.count(ReplicaView::Unknown),
         }
     }
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -16,7 +16,7 @@
 use tokio::time::{self, Instant};
 use tokio_util::sync::{CancellationToken, DropGuard};
 
-use crate::{ConnectionLimit, ConnectionPlace, TargetAnswer};
+use crate::{ConnectionLimit, ConnectionPlace, TargetResponse};
 
 /// Longest wait for a connection; targets answer in about a millisecond, and a lost opening
 /// packet is repeated only after a second.
@@ -36,7 +36,7 @@
     #[error(
         "no connection may be opened, nothing was sent: wait until others have ended, or raise `--max-fds`"
     )]
-    NoRoom,
+    LimitReached,
     /// It was sent, and may have run.
     #[error("the target broke off ({0}): the request may have run")]
     Broken(String),
@@ -50,7 +50,7 @@
     /// Nothing does: connections are refused.
     Refuses,
     /// No answer: the way may be cut, or its queue be full.
-    Silent,
+    Unresponsive,
 }
 
 pub(crate) struct Connection {
@@ -90,17 +90,17 @@
     }
 
     /// Whether another item may be started; resting connections give way where there is no room beside them.
-    pub fn has_room(&self) -> bool {
-        if !self.limit.has_room() {
-            self.forget_resting();
+    pub fn has_capacity(&self) -> bool {
+        if !self.limit.has_capacity() {
+            self.close_idle();
         }
-        self.limit.has_room()
+        self.limit.has_capacity()
     }
 
     /// A place for a connection; resting ones give theirs up where there is none.
     fn place(&self) -> Option<ConnectionPlace> {
         self.limit.take().or_else(|| {
-            self.forget_resting();
+            self.close_idle();
             self.limit.take()
         })
     }
@@ -115,7 +115,7 @@
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
-    ) -> Result<TargetAnswer, SendError> {
+    ) -> Result<TargetResponse, SendError> {
         let mut request = request;
         while let Some(mut connection) = self.take(address) {
             match connection.sender.try_send_request(request).await {
@@ -126,16 +126,16 @@
                 },
             }
         }
-        self.send_fresh(address, request).await
+        self.send_on_new_connection(address, request).await
     }
 
     /// Sends a request on a connection of its own.
-    pub async fn send_fresh(
+    pub async fn send_on_new_connection(
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
-    ) -> Result<TargetAnswer, SendError> {
-        let Some(place) = self.place() else { return Err(SendError::NoRoom) };
+    ) -> Result<TargetResponse, SendError> {
+        let Some(place) = self.place() else { return Err(SendError::LimitReached) };
         let connected = time::timeout(CONNECT_TIMEOUT, connect(address, place)).await;
         let Ok(Some(mut connection)) = connected else {
             return Err(SendError::NotSent(address));
@@ -150,11 +150,11 @@
     }
 
     /// Opens a connection for a moment, to see whether anything listens.
-    pub async fn look(&self, address: SocketAddr) -> PortState {
+    pub async fn probe(&self, address: SocketAddr) -> PortState {
         match time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
             Ok(Ok(_stream)) => PortState::Listens,
             Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => PortState::Refuses,
-            Ok(Err(_)) | Err(_) => PortState::Silent,
+            Ok(Err(_)) | Err(_) => PortState::Unresponsive,
         }
     }
 
@@ -163,8 +163,8 @@
         address: SocketAddr,
         connection: Connection,
         response: Response<Incoming>,
-    ) -> TargetAnswer {
-        TargetAnswer::new(self.clone(), address, connection, response)
+    ) -> TargetResponse {
+        TargetResponse::new(self.clone(), address, connection, response)
     }
 
     fn take(&self, address: SocketAddr) -> Option<Connection> {
@@ -198,7 +198,7 @@
 
     /// Closes all resting connections: what made one of them fall silent may have met others, and each
     /// would cost its request the time until that shows. New ones cost a millisecond each.
-    pub fn forget_resting(&self) {
+    pub fn close_idle(&self) {
         self.lock().clear();
     }
 
--- a/crates/usage/src/plan.rs
+++ b/crates/usage/src/plan.rs
@@ -15,7 +15,7 @@
 
 /// A report as it stands in the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FixedReport {
+pub struct UsageReport {
     /// The window.
     pub window: UsageWindow,
     /// Requests that targets began in it, by customer.
@@ -57,28 +57,28 @@
 pub enum ReportAction {
     /// Read the object of the last report, then call [`ReportPlan::read_done`].
     Read,
-    /// Write this report in its place, with the counts of its window, then call [`ReportPlan::fix_done`].
-    Fix {
+    /// Write this report in its place, with the counts of its window, then call [`ReportPlan::commit_done`].
+    Commit {
         /// The window whose counts are due.
         window: UsageWindow,
         /// The version that the write is conditional on; zero means that the object must be absent.
         expect: ObjectVersion,
     },
     /// Send this report, then call [`ReportPlan::send_done`].
-    Send(FixedReport),
+    Send(UsageReport),
 }
 
 /// How a call about the object ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreOutcome {
     /// It holds this report, under this version.
-    Holds(ObjectVersion, FixedReport),
+    Holds(ObjectVersion, UsageReport),
     /// There is no such object.
     Absent,
     /// It is another than the write was conditional on, or nobody knows.
     Unsure,
     /// Nothing was done.
-    NotDone,
+    NotApplied,
 }
 
 /// How the sending of a report ended.
@@ -99,7 +99,7 @@
     /// There is no report yet.
     Absent,
     /// The last report, and whether it was taken.
-    Report { version: ObjectVersion, report: FixedReport, taken: bool },
+    Report { version: ObjectVersion, report: UsageReport, taken: bool },
 }
 
 /// The reports of one holder of the duty.
@@ -136,7 +136,7 @@
         };
         let wait = if all_heard { self.times.settle } else { self.times.patience };
         let due = self.times.length.end_of(window).millis() + whole_millis(wait);
-        (now.millis() >= due).then_some(ReportAction::Fix { window, expect })
+        (now.millis() >= due).then_some(ReportAction::Commit { window, expect })
     }
 
     /// The oldest window whose counts are not forgotten.
@@ -152,19 +152,19 @@
                 self.known = Known::Report { version, report, taken: false };
             }
             StoreOutcome::Absent => self.known = Known::Absent,
-            StoreOutcome::Unsure | StoreOutcome::NotDone => {}
+            StoreOutcome::Unsure | StoreOutcome::NotApplied => {}
         }
     }
 
     /// Takes how the write of a report ended.
-    pub fn fix_done(&mut self, outcome: StoreOutcome) {
+    pub fn commit_done(&mut self, outcome: StoreOutcome) {
         match outcome {
             StoreOutcome::Holds(version, report) => {
                 self.known = Known::Report { version, report, taken: false };
             }
             // Written by another box, or by this one without its knowing: what stands there counts.
             StoreOutcome::Absent | StoreOutcome::Unsure => self.known = Known::Nothing,
-            StoreOutcome::NotDone => {}
+            StoreOutcome::NotApplied => {}
         }
     }
 
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -3,10 +3,10 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-use coord::members::{Heartbeat, MemberRecord, ToldRecord};
+use coord::members::{Heartbeat, MemberRecord, RelayedRecord};
 use ids::{Generation, IdError, Incarnation};
 
-use crate::peer::{Beat, Member};
+use crate::peer::{BoxHeartbeat, Member};
 
 /// Why a message was refused.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -25,22 +25,22 @@
 }
 
 /// A beat for the wire; the target list's revision rides along.
-pub fn beat_to_wire(beat: &Heartbeat, targets_revision: Generation) -> Beat {
-    Beat {
+pub fn heartbeat_to_wire(beat: &Heartbeat, targets_revision: Generation) -> BoxHeartbeat {
+    BoxHeartbeat {
         box_id: beat.from.to_string(),
         incarnation: beat.incarnation.get(),
         leaving: beat.leaving,
         config_generation: beat.generation.get(),
         targets_revision: targets_revision.get(),
         record: beat.record.as_ref().map(|record| member_to_wire(record, Duration::ZERO)),
-        told: beat.told.iter().map(|told| member_to_wire(&told.record, told.age)).collect(),
+        told: beat.relayed.iter().map(|told| member_to_wire(&told.record, told.age)).collect(),
     }
 }
 
 /// A beat from the wire.
-pub fn beat_from_wire(beat: Beat) -> Result<Heartbeat, ConvertError> {
+pub fn heartbeat_from_wire(beat: BoxHeartbeat) -> Result<Heartbeat, ConvertError> {
     let record = beat.record.map(member_from_wire).transpose()?;
-    let told: Result<Vec<ToldRecord>, ConvertError> =
+    let told: Result<Vec<RelayedRecord>, ConvertError> =
         beat.told.into_iter().map(member_from_wire).collect();
     Ok(Heartbeat {
         from: parse_id(&beat.box_id)?,
@@ -48,7 +48,7 @@
         leaving: beat.leaving,
         generation: Generation::new(beat.config_generation),
         record: record.map(|told| told.record),
-        told: told?,
+        relayed: told?,
     })
 }
 
@@ -63,7 +63,7 @@
     }
 }
 
-fn member_from_wire(member: Member) -> Result<ToldRecord, ConvertError> {
+fn member_from_wire(member: Member) -> Result<RelayedRecord, ConvertError> {
     let record = MemberRecord {
         id: parse_id(&member.box_id)?,
         domain: parse_id(&member.domain)?,
@@ -71,5 +71,5 @@
         address: member.address,
         leaving: member.leaving,
     };
-    Ok(ToldRecord { record, age: Duration::from_millis(u64::from(member.age_ms)) })
+    Ok(RelayedRecord { record, age: Duration::from_millis(u64::from(member.age_ms)) })
 }
