--- a/crates/suspects/src/lib.rs
+++ b/crates/suspects/src/lib.rs
@@ -1,26 +1,25 @@
-//! Which work ends the targets that run it.
+//! Detects and quarantines poison work: requests that crash the targets that run them.
 //!
-//! A request may crash each target that begins to run it. A box that puts every break down to the target sends
-//! it to the next one, its caller comes again at another box, and soon no target of the service is left. So
-//! each box remembers, by a digest of what was asked for, under which work targets have ended ([`SuspectTable`]), tells
-//! the others ([`SuspectRecord`]), and turns work away once it is condemned.
+//! A poison request crashes one target after another: each box retries it at the next target, and its
+//! caller retries it at other boxes, until the service has no target left. Therefore each box records
+//! by digest which work was running when a target crashed ([`SuspectTable`]), shares this with the
+//! other boxes ([`SuspectRecord`]), and rejects work that is quarantined.
 //!
-//! Innocent work must not suffer for it. When a target ends, all that ran there breaks off, and most of it is
-//! well; targets also end for reasons of their own. So
-//! - only the end of a target counts, not a closed connection, and one life of a target counts once;
-//! - work that is answered well anywhere is free at once;
-//! - an end counts for the work that has the most of them, or enough without the others: what another piece of work
-//!   explains as well condemns nobody ([`verdict`]);
-//! - work under suspicion runs apart from other such work where it can, and only there before the end that would condemn
-//!   it, so that each end tells them apart;
-//! - a verdict is about a service and a version of its software, and is forgotten after a while.
+//! A crash disconnects everything that ran at the target, and targets also crash for other reasons.
+//! These rules protect innocent work:
+//! - Only a crash counts, not a closed connection, and each incarnation of a target counts once.
+//! - Work that completes successfully is cleared at once.
+//! - Crashes that other work explains as well do not quarantine it ([`verdict`]).
+//! - Suspects run at different targets where possible, so that the next crash tells them apart. One
+//!   crash before quarantine this becomes mandatory.
+//! - Quarantine is per service and software version, and expires.
 //!
-//! Nothing here does I/O or reads a clock.
+//! This crate does no I/O and reads no clock.
 
-mod book;
 mod record;
+mod table;
 mod verdict;
 
-pub use book::{AntiAffinity, SuspectTable, SuspectWrite};
 pub use record::{MAX_CRASHES, SuspectRecord, TargetCrash};
+pub use table::{AntiAffinity, SuspectTable, SuspectWrite};
 pub use verdict::{QUARANTINE_CRASHES, UNCONDITIONAL_QUARANTINE_CRASHES};
--- a/crates/suspects/src/record.rs
+++ b/crates/suspects/src/record.rs
@@ -1,29 +1,29 @@
-//! What boxes tell one another of a piece of work.
+//! Records of suspect work that boxes share through the store.
 
 use ids::{ServiceName, SoftwareVersion, TargetIncarnation};
 use serde::{Deserialize, Serialize};
 
-/// Ends that are remembered of one piece of work; a verdict needs fewer.
+/// Maximum number of crashes kept per work digest, above the quarantine thresholds.
 pub const MAX_CRASHES: usize = 8;
 
-/// The end of a target under a piece of work.
+/// The crash of a target that ran the work.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TargetCrash {
-    /// The life that ended.
+    /// The incarnation that crashed.
     pub life: TargetIncarnation,
-    /// The software that it ran, where it told.
+    /// Its software version, if it reported one.
     #[serde(default)]
     pub software: Option<SoftwareVersion>,
 }
 
-/// What is known of a piece of work, as the store holds it.
+/// Stored record of one work digest.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectRecord {
-    /// The service whose targets ended.
+    /// The service whose targets crashed.
     pub service: ServiceName,
-    /// Their ends.
+    /// The crashes, at most [`MAX_CRASHES`].
     pub ends: Vec<TargetCrash>,
-    /// How often it was let through after it was condemned, to see whether the reason has gone.
+    /// Number of trial runs after the work was quarantined.
     #[serde(default)]
     pub trials: u32,
 }
--- /dev/null
+++ b/crates/suspects/src/table.rs
@@ -0,0 +1,543 @@
+//! Work under which targets crashed, as observed by one box.
+
+use std::collections::{HashMap, HashSet};
+use std::time::Duration;
+
+use ids::{InstanceId, Moment, ServiceName, SoftwareVersion, TargetIncarnation, WorkDigest};
+
+use crate::verdict::{SETTLE_WINDOW, UNEXPLAINED_CRASHES, versions_to_quarantine};
+use crate::{MAX_CRASHES, QUARANTINE_CRASHES, SuspectRecord, TargetCrash};
+
+/// Number of crashes from which work runs only at targets without other suspects. Otherwise several
+/// poison requests that arrive together would put their neighbors in quarantine too.
+const ISOLATION_CRASHES: usize = QUARANTINE_CRASHES - 1;
+/// Maximum number of tracked work digests, about 400 bytes each. Beyond it, the entry with the
+/// fewest and oldest crashes is evicted.
+const MAX_SUSPECTS: usize = 512;
+/// Maximum number of unresolved disconnects per work digest.
+const MAX_BREAKS: usize = 16;
+/// How long a disconnect waits for confirmation of a crash. A target's list entry expires after 4
+/// s.
+const BREAK_TTL: Duration = Duration::from_secs(6);
+/// An incarnation that is still listed this long after it refused a connection has not crashed: its
+/// entry would have expired.
+const REFUSAL_TIMEOUT: Duration = Duration::from_secs(6);
+/// How long crashes are kept for work below the quarantine threshold.
+const SUSPECT_TTL: Duration = Duration::from_mins(10);
+/// How long crashes are kept for work at or above the quarantine threshold.
+const QUARANTINE_TTL: Duration = Duration::from_hours(24);
+/// Delays after the last crash or trial before quarantined work may run once, in case the cause
+/// (such as an unavailable dependency) is gone. Limited to three, since each trial may crash a
+/// target.
+const TRIAL_DELAYS: [Duration; 3] =
+    [Duration::from_mins(3), Duration::from_mins(10), Duration::from_mins(45)];
+/// Extra delay before a storage box clears records that other boxes published. Boxes that only drop
+/// their local entry wait twice as long.
+const CLEAR_DELAY: Duration = Duration::from_mins(1);
+
+/// A pending write to the store.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum SuspectWrite {
+    /// Publishes a record, replacing the given revision if there is one.
+    Publish {
+        /// Digest of the work.
+        work: WorkDigest,
+        /// The record to write.
+        record: SuspectRecord,
+        /// Revision of the stored record; `None` if nothing is stored.
+        revision: Option<u64>,
+    },
+    /// Deletes a published record.
+    Clear {
+        /// Digest of the work.
+        work: WorkDigest,
+        /// Revision of the stored record.
+        revision: u64,
+    },
+}
+
+/// Targets that work should avoid because other suspects run there.
+#[derive(Debug, Clone, Default, PartialEq, Eq)]
+pub struct AntiAffinity {
+    /// The targets to avoid.
+    pub targets: Vec<InstanceId>,
+    /// Whether avoiding them is mandatory: one more crash would quarantine this work and its
+    /// neighbors.
+    pub required: bool,
+}
+
+/// State of a trial run of quarantined work.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Trial {
+    None,
+    /// Due, but not yet confirmed by the store. The conditional write lets one box alone run it.
+    Requested,
+    /// This box may run the trial.
+    Granted,
+}
+
+/// Summary of the stored record of a work digest.
+#[derive(Debug, Clone, Copy)]
+struct StoredRecord {
+    revision: u64,
+    crashes: usize,
+}
+
+#[derive(Debug)]
+struct Suspect {
+    service: ServiceName,
+    /// Crashes that this box observed, and those in the stored record.
+    local_crashes: Vec<TargetCrash>,
+    stored_crashes: Vec<TargetCrash>,
+    /// Disconnects whose target may have crashed.
+    breaks: Vec<(TargetCrash, Moment)>,
+    /// Time of the last crash, and when the quarantine threshold was reached.
+    last_crash_at: Moment,
+    threshold_at: Option<Moment>,
+    /// The crashes came with a full listing of the store, so no better explanation is in transit.
+    settled: bool,
+    /// The caller got no response and may retry at another box.
+    caller_unanswered: bool,
+    stored: Option<StoredRecord>,
+    trial: Trial,
+    trials: u32,
+    last_trial_at: Moment,
+    /// Targets at which this box currently runs the work.
+    running_at: Vec<InstanceId>,
+}
+
+impl Suspect {
+    fn new(now: Moment, service: ServiceName) -> Self {
+        Self {
+            service,
+            local_crashes: Vec::new(),
+            stored_crashes: Vec::new(),
+            breaks: Vec::new(),
+            last_crash_at: now,
+            threshold_at: None,
+            settled: false,
+            caller_unanswered: false,
+            stored: None,
+            trial: Trial::None,
+            trials: 0,
+            last_trial_at: now,
+            running_at: Vec::new(),
+        }
+    }
+
+    fn crashes(&self) -> Vec<TargetCrash> {
+        let unstored =
+            self.local_crashes.iter().filter(|crash| !self.stored_crashes.contains(crash));
+        self.stored_crashes.iter().chain(unstored).take(MAX_CRASHES).cloned().collect()
+    }
+
+    /// Incarnations that crashed, or may have crashed, while running this work.
+    fn incarnations(&self) -> impl Iterator<Item = &TargetIncarnation> {
+        let crashes = self.local_crashes.iter().chain(&self.stored_crashes);
+        crashes.chain(self.breaks.iter().map(|(crash, _)| crash)).map(|crash| &crash.life)
+    }
+
+    fn has_crash_of(&self, incarnation: &TargetIncarnation) -> bool {
+        self.local_crashes
+            .iter()
+            .chain(&self.stored_crashes)
+            .any(|crash| crash.life == *incarnation)
+    }
+
+    /// Whether this work, rather than `other` with the given crashes, may have caused their common
+    /// crashes. This holds if it has at least as many crashes, or enough for quarantine with
+    /// `UNEXPLAINED_CRASHES` not shared with `other`. The second rule clears work that ran beside
+    /// two poison requests in turn and so has as many crashes as either.
+    fn explains(&self, other: &Self, crashes: &[TargetCrash]) -> bool {
+        let unshared = || {
+            let own = self.crashes();
+            own.iter().filter(|crash| crashes.iter().all(|other| other.life != crash.life)).count()
+        };
+        let count = self.count();
+        count >= other.count() || (count >= QUARANTINE_CRASHES && unshared() >= UNEXPLAINED_CRASHES)
+    }
+
+    fn count(&self) -> usize {
+        let unstored =
+            self.local_crashes.iter().filter(|crash| !self.stored_crashes.contains(crash));
+        self.stored_crashes.len() + unstored.count()
+    }
+
+    /// Updates the timestamps after a crash was added.
+    fn crash_added(&mut self, now: Moment) {
+        self.last_crash_at = now;
+        if self.count() >= QUARANTINE_CRASHES {
+            self.threshold_at.get_or_insert(now);
+        }
+    }
+
+    fn trial_due(&self, now: Moment) -> bool {
+        let after = TRIAL_DELAYS.get(self.trials as usize);
+        after.is_some_and(|after| now.since(self.last_crash_at.max(self.last_trial_at)) >= *after)
+    }
+
+    fn record(&self) -> SuspectRecord {
+        let requested = u32::from(self.trial == Trial::Requested);
+        let trials = self.trials + requested;
+        SuspectRecord { service: self.service.clone(), ends: self.crashes(), trials }
+    }
+
+    fn ttl(&self) -> Duration {
+        if self.count() >= QUARANTINE_CRASHES { QUARANTINE_TTL } else { SUSPECT_TTL }
+    }
+
+    /// Whether the record should be published: after a second crash, or after the first if the
+    /// caller may retry at any box.
+    fn needs_publish(&self) -> bool {
+        let count = self.count().min(MAX_CRASHES);
+        let worth_publishing = count >= 2 || (count == 1 && self.caller_unanswered);
+        let changed = self.stored.is_none_or(|stored| stored.crashes < count);
+        (worth_publishing && changed) || self.trial == Trial::Requested
+    }
+}
+
+/// Table of the work under which targets crashed, as observed by one box.
+#[derive(Debug, Default)]
+pub struct SuspectTable {
+    suspects: HashMap<WorkDigest, Suspect>,
+    /// Cleared work whose stored record is yet to be deleted, with its revision.
+    cleared: HashMap<WorkDigest, u64>,
+    /// Incarnations that refused connections after a disconnect, and when. A network partition may
+    /// look the same.
+    refused: HashMap<TargetIncarnation, Moment>,
+}
+
+impl SuspectTable {
+    /// Whether no work is tracked.
+    pub fn is_empty(&self) -> bool {
+        self.suspects.is_empty()
+    }
+
+    /// Whether no work is tracked and nothing is left to expire or write.
+    pub fn is_idle(&self) -> bool {
+        self.suspects.is_empty() && self.cleared.is_empty() && self.refused.is_empty()
+    }
+
+    /// Number of tracked work digests.
+    pub fn len(&self) -> usize {
+        self.suspects.len()
+    }
+
+    /// Number of target crashes recorded for `work`.
+    pub fn crash_count(&self, work: WorkDigest) -> usize {
+        self.suspects.get(&work).map_or(0, Suspect::count)
+    }
+
+    /// Records that a target broke off `work`. Returns `true` if the caller should probe the
+    /// incarnation, because no earlier disconnect involves it.
+    pub fn record_break(
+        &mut self,
+        now: Moment,
+        work: WorkDigest,
+        service: &ServiceName,
+        crash: TargetCrash,
+    ) -> bool {
+        let incarnation = crash.life.clone();
+        let involves =
+            |suspect: &Suspect| suspect.incarnations().any(|other| *other == incarnation);
+        let already_probed = self.suspects.values().any(involves);
+        self.evict_if_full(&work);
+        let suspect =
+            self.suspects.entry(work).or_insert_with(|| Suspect::new(now, service.clone()));
+        if !involves(suspect) && suspect.breaks.len() < MAX_BREAKS {
+            suspect.breaks.push((crash, now));
+        }
+        if self.refused.contains_key(&incarnation) {
+            self.confirm_crash(now, &incarnation);
+        }
+        !already_probed
+    }
+
+    /// Records that an incarnation refuses connections. After a disconnect this counts as a crash.
+    pub fn connection_refused(&mut self, now: Moment, incarnation: &TargetIncarnation) {
+        self.refused.insert(incarnation.clone(), now);
+        self.confirm_crash(now, incarnation);
+    }
+
+    /// Records that an instance is no longer listed, or that another incarnation replaced it.
+    pub fn instance_gone(&mut self, now: Moment, instance: &InstanceId) {
+        let incarnations = self.suspects.values().flat_map(|suspect| &suspect.breaks);
+        let gone = incarnations
+            .map(|(crash, _)| &crash.life)
+            .filter(|incarnation| incarnation.instance == *instance);
+        let gone: HashSet<TargetIncarnation> = gone.cloned().collect();
+        for incarnation in gone {
+            self.confirm_crash(now, &incarnation);
+        }
+    }
+
+    fn confirm_crash(&mut self, now: Moment, incarnation: &TargetIncarnation) {
+        for suspect in self.suspects.values_mut() {
+            let Some(at) = suspect.breaks.iter().position(|(crash, _)| crash.life == *incarnation)
+            else {
+                continue;
+            };
+            let (crash, _) = suspect.breaks.swap_remove(at);
+            if suspect.local_crashes.len() < MAX_CRASHES {
+                suspect.local_crashes.push(crash);
+                suspect.crash_added(now);
+            }
+        }
+    }
+
+    /// Returns incarnations whose refusal is older than `REFUSAL_TIMEOUT`, each of them once.
+    pub fn drain_expired_refusals(&mut self, now: Moment) -> Vec<TargetIncarnation> {
+        let due = self.refused.extract_if(|_, at| now.since(*at) >= REFUSAL_TIMEOUT);
+        due.map(|(incarnation, _)| incarnation).collect()
+    }
+
+    /// Removes crashes and disconnects of an incarnation that turned out to be alive or left as
+    /// planned.
+    pub fn clear_incarnation(&mut self, incarnation: &TargetIncarnation) {
+        for suspect in self.suspects.values_mut() {
+            let before = suspect.count();
+            suspect.breaks.retain(|(crash, _)| crash.life != *incarnation);
+            suspect.local_crashes.retain(|crash| crash.life != *incarnation);
+            suspect.stored_crashes.retain(|crash| crash.life != *incarnation);
+            if suspect.count() < before
+                && let Some(stored) = &mut suspect.stored
+            {
+                // Causes the record to be published again without this crash.
+                stored.crashes = 0;
+            }
+        }
+        let freed =
+            self.suspects.extract_if(|_, suspect| suspect.count() == 0 && suspect.stored.is_some());
+        let freed: Vec<_> =
+            freed.filter_map(|(work, entry)| Some((work, entry.stored?.revision))).collect();
+        self.cleared.extend(freed);
+    }
+
+    /// Clears work that completed successfully: it caused none of its crashes.
+    pub fn succeeded(&mut self, work: WorkDigest) {
+        let stored = self.suspects.remove(&work).and_then(|suspect| suspect.stored);
+        if let Some(stored) = stored {
+            self.cleared.insert(work, stored.revision);
+        }
+    }
+
+    /// Records that the caller got no response and may retry at any box.
+    pub fn caller_unanswered(&mut self, work: WorkDigest) {
+        if let Some(suspect) = self.suspects.get_mut(&work) {
+            suspect.caller_unanswered = true;
+        }
+    }
+
+    /// Records that this box starts the work at a target.
+    pub fn work_started(&mut self, work: WorkDigest, target: &InstanceId) {
+        if let Some(suspect) = self.suspects.get_mut(&work) {
+            suspect.running_at.push(target.clone());
+            suspect.trial = Trial::None;
+        }
+    }
+
+    /// Records that the work no longer runs at a target.
+    pub fn work_ended(&mut self, work: WorkDigest, target: &InstanceId) {
+        if let Some(suspect) = self.suspects.get_mut(&work)
+            && let Some(at) = suspect.running_at.iter().position(|running| running == target)
+        {
+            suspect.running_at.swap_remove(at);
+        }
+    }
+
+    /// Returns the targets at which this box runs conflicting suspects. A crash beside them would
+    /// not tell the suspects apart and could hit innocent work.
+    pub fn anti_affinity(&self, work: WorkDigest) -> AntiAffinity {
+        let suspect = self.suspects.get(&work);
+        let others = self.suspects.iter().filter(|(other, entry)| {
+            let conflicts = match suspect {
+                // Only suspects that share a crash need to be told apart.
+                Some(suspect) => suspect
+                    .incarnations()
+                    .any(|incarnation| entry.incarnations().any(|other| other == incarnation)),
+                // A single crash makes all work at the target suspect, which is too weak to avoid
+                // it.
+                None => entry.count() >= ISOLATION_CRASHES,
+            };
+            **other != work && conflicts
+        });
+        let targets = others.flat_map(|(_, entry)| entry.running_at.iter().cloned()).collect();
+        AntiAffinity {
+            targets,
+            required: suspect.is_some_and(|entry| entry.count() >= ISOLATION_CRASHES),
+        }
+    }
+
+    /// Returns whether quarantined work may run once as a trial. Requests a trial if one is due; it
+    /// is granted to the box whose write the store confirms.
+    pub fn request_trial(&mut self, now: Moment, work: WorkDigest) -> bool {
+        let Some(suspect) = self.suspects.get_mut(&work) else { return false };
+        if suspect.trial == Trial::None && suspect.trial_due(now) {
+            suspect.trial = Trial::Requested;
+        }
+        suspect.trial == Trial::Granted
+    }
+
+    /// Records that the store accepted a record that this box published.
+    pub fn write_confirmed(
+        &mut self,
+        now: Moment,
+        work: WorkDigest,
+        revision: u64,
+        record: SuspectRecord,
+    ) {
+        let pending = self.suspects.get(&work);
+        let granted = pending
+            .is_some_and(|entry| entry.trial == Trial::Requested && record.trials > entry.trials);
+        self.apply_record(now, work, revision, record);
+        if granted && let Some(suspect) = self.suspects.get_mut(&work) {
+            suspect.trial = Trial::Granted;
+        }
+    }
+
+    /// Returns the software versions at whose targets the work must not run. Empty for work that is
+    /// not quarantined, and while other boxes may still report a better explanation of its crashes.
+    pub fn quarantined_versions(
+        &self,
+        now: Moment,
+        work: WorkDigest,
+        service: &ServiceName,
+    ) -> Vec<Option<SoftwareVersion>> {
+        let Some(suspect) = self.suspects.get(&work) else { return Vec::new() };
+        let threshold_at = suspect.threshold_at.unwrap_or(now);
+        if suspect.settled || now.since(threshold_at) >= SETTLE_WINDOW {
+            self.suspected_versions(work, service)
+        } else {
+            Vec::new()
+        }
+    }
+
+    /// Like [`Self::quarantined_versions`], without waiting for reports of other boxes. For work
+    /// that can be delayed.
+    pub fn suspected_versions(
+        &self,
+        work: WorkDigest,
+        service: &ServiceName,
+    ) -> Vec<Option<SoftwareVersion>> {
+        let Some(suspect) = self.suspects.get(&work).filter(|entry| entry.service == *service)
+        else {
+            return Vec::new();
+        };
+        let crashes = suspect.crashes();
+        let others = self.suspects.iter().filter(|(other, _)| **other != work);
+        let explaining = others.map(|(_, other)| other);
+        let explaining = explaining.filter(|other| other.explains(suspect, &crashes));
+        let explaining: Vec<&Suspect> = explaining.collect();
+        versions_to_quarantine(&crashes, |crash| {
+            explaining.iter().any(|other| other.has_crash_of(&crash.life))
+        })
+    }
+
+    /// Returns the pending writes to the store.
+    pub fn due_writes(&self) -> Vec<SuspectWrite> {
+        let due = self.suspects.iter().filter(|(_, suspect)| suspect.needs_publish());
+        let publishes = due.map(|(work, suspect)| SuspectWrite::Publish {
+            work: *work,
+            record: suspect.record(),
+            revision: suspect.stored.map(|stored| stored.revision),
+        });
+        let clears = self.cleared.iter();
+        let clears =
+            clears.map(|(work, revision)| SuspectWrite::Clear { work: *work, revision: *revision });
+        publishes.chain(clears).collect()
+    }
+
+    /// Applies a stored record, written by this box or another.
+    pub fn apply_record(
+        &mut self,
+        now: Moment,
+        work: WorkDigest,
+        revision: u64,
+        record: SuspectRecord,
+    ) {
+        if let Some(cleared) = self.cleared.get_mut(&work) {
+            *cleared = revision.max(*cleared);
+            return;
+        }
+        self.evict_if_full(&work);
+        let suspect =
+            self.suspects.entry(work).or_insert_with(|| Suspect::new(now, record.service.clone()));
+        if suspect.stored.is_some_and(|stored| stored.revision > revision) {
+            return;
+        }
+        let count = suspect.count();
+        suspect.service = record.service;
+        if record.trials > suspect.trials {
+            suspect.trials = record.trials;
+            suspect.last_trial_at = now;
+            // Another box runs this trial.
+            suspect.trial = Trial::None;
+        }
+        suspect.stored_crashes = record.ends;
+        suspect.stored_crashes.truncate(MAX_CRASHES);
+        suspect.stored = Some(StoredRecord { revision, crashes: suspect.stored_crashes.len() });
+        if suspect.count() > count {
+            suspect.crash_added(now);
+        }
+    }
+
+    /// Applies the removal of a stored record.
+    pub fn apply_removal(&mut self, work: WorkDigest) {
+        self.cleared.remove(&work);
+        if self.suspects.get(&work).is_some_and(|suspect| suspect.stored.is_some()) {
+            self.suspects.remove(&work);
+        }
+    }
+
+    /// Applies a full listing, after the records in it. Work that is not listed has no stored
+    /// record.
+    pub fn apply_listing(&mut self, named: &HashSet<WorkDigest>) {
+        for suspect in self.suspects.values_mut() {
+            suspect.settled |= suspect.stored_crashes.len() >= QUARANTINE_CRASHES;
+        }
+        self.cleared.retain(|work, _| named.contains(work));
+        self.suspects.retain(|work, suspect| suspect.stored.is_none() || named.contains(work));
+    }
+
+    /// Drops expired entries. With `clears_others` (a storage box), also deletes stored records
+    /// whose publishers did not.
+    pub fn expire(&mut self, now: Moment, clears_others: bool) {
+        let mut expired = Vec::new();
+        for (work, suspect) in &mut self.suspects {
+            suspect.breaks.retain(|(_, at)| now.since(*at) < BREAK_TTL);
+            let idle = suspect.breaks.is_empty() && suspect.running_at.is_empty();
+            if suspect.count() == 0 && suspect.stored.is_none() {
+                if idle {
+                    expired.push((*work, None));
+                }
+                continue;
+            }
+            let extra_delay = match (suspect.local_crashes.is_empty(), clears_others) {
+                (false, _) => Duration::ZERO,
+                (true, true) => CLEAR_DELAY,
+                (true, false) => CLEAR_DELAY * 2,
+            };
+            if now.since(suspect.last_crash_at) >= suspect.ttl() + extra_delay {
+                let clears = !suspect.local_crashes.is_empty() || clears_others;
+                expired.push((*work, suspect.stored.filter(|_| clears)));
+            }
+        }
+        for (work, stored) in expired {
+            self.suspects.remove(&work);
+            if let Some(stored) = stored {
+                self.cleared.insert(work, stored.revision);
+            }
+        }
+    }
+
+    fn evict_if_full(&mut self, work: &WorkDigest) {
+        if self.suspects.contains_key(work) || self.suspects.len() < MAX_SUSPECTS {
+            return;
+        }
+        let least =
+            self.suspects.iter().min_by_key(|(_, entry)| (entry.count(), entry.last_crash_at));
+        if let Some(least) = least.map(|(work, _)| *work) {
+            self.suspects.remove(&least);
+        }
+    }
+}
--- a/crates/suspects/src/verdict.rs
+++ b/crates/suspects/src/verdict.rs
@@ -1,4 +1,4 @@
-//! When work is condemned.
+//! Rules for putting work in quarantine.
 
 use std::time::Duration;
 
@@ -6,52 +6,57 @@
 
 use crate::TargetCrash;
 
-/// Ends of targets under a piece of work from which on it may be condemned. Fewer happen by chance, to work that
-/// meets two crashes of targets in a row.
+/// Minimum number of target crashes that can quarantine work. Innocent work may meet two unrelated
+/// crashes in a row.
 pub const QUARANTINE_CRASHES: usize = 3;
-/// Ends that condemn whatever else could explain them: without a bound, two pieces of work that always end
-/// targets together would explain each other for ever.
+/// Number of crashes that quarantines work regardless of other explanations. Without this bound,
+/// two poison requests that always run together would explain each other's crashes indefinitely.
 pub const UNCONDITIONAL_QUARANTINE_CRASHES: usize = 6;
-/// So many ends must have no other explanation. One may be the target's own crash, beside two under other work.
-pub(crate) const OWN_ENDS: usize = 2;
-/// A verdict waits for this long after the end that makes it possible, since other boxes may be about to tell of work that explains it
-/// better. Their news take some 0.2 s.
-pub(crate) const SETTLE_TIME: Duration = Duration::from_millis(500);
+/// Minimum number of crashes that no other work explains. A single one may be unrelated to the
+/// work.
+pub(crate) const UNEXPLAINED_CRASHES: usize = 2;
+/// Delay between the last required crash and the quarantine, longer than other boxes need to report
+/// work that explains the crashes better.
+pub(crate) const SETTLE_WINDOW: Duration = Duration::from_millis(500);
 
-/// The versions of the software whose targets the work must not reach. `explains` says whether other work that may have
-/// ended a life ran there.
-pub(crate) fn condemned(
-    ends: &[TargetCrash],
+/// Returns the software versions at whose targets the work must not run. `explains` returns whether
+/// other work may have caused a crash.
+pub(crate) fn versions_to_quarantine(
+    crashes: &[TargetCrash],
     explains: impl Fn(&TargetCrash) -> bool,
 ) -> Vec<Option<SoftwareVersion>> {
     let mut counts: Vec<SoftwareCount> = Vec::new();
-    for end in ends {
-        let own = usize::from(!explains(end));
-        match counts.iter_mut().find(|count| count.software == end.software) {
+    for crash in crashes {
+        let unexplained = usize::from(!explains(crash));
+        match counts.iter_mut().find(|count| count.software == crash.software) {
             Some(count) => {
-                count.ends += 1;
-                count.own += own;
+                count.crashes += 1;
+                count.unexplained += unexplained;
             }
-            None => counts.push(SoftwareCount { software: end.software.clone(), ends: 1, own }),
+            None => counts.push(SoftwareCount {
+                software: crash.software.clone(),
+                crashes: 1,
+                unexplained,
+            }),
         }
     }
-    if !counts.iter().any(SoftwareCount::condemns) {
+    if !counts.iter().any(SoftwareCount::is_quarantined) {
         return Vec::new();
     }
-    // Software whose targets it has not ended yet may be the one that bears it; once it ends one, no more is tried.
+    // Excludes every version with a crash. Other versions may still handle the work.
     counts.into_iter().map(|count| count.software).collect()
 }
 
-/// Ends of targets with the same software.
+/// Number of crashes of targets that ran one software version.
 struct SoftwareCount {
     software: Option<SoftwareVersion>,
-    ends: usize,
-    own: usize,
+    crashes: usize,
+    unexplained: usize,
 }
 
 impl SoftwareCount {
-    const fn condemns(&self) -> bool {
-        self.ends >= UNCONDITIONAL_QUARANTINE_CRASHES
-            || (self.ends >= QUARANTINE_CRASHES && self.own >= OWN_ENDS)
+    const fn is_quarantined(&self) -> bool {
+        self.crashes >= UNCONDITIONAL_QUARANTINE_CRASHES
+            || (self.crashes >= QUARANTINE_CRASHES && self.unexplained >= UNEXPLAINED_CRASHES)
     }
 }
--- a/crates/suspects/tests/property.rs
+++ b/crates/suspects/tests/property.rs
@@ -1,4 +1,4 @@
-//! Lethal and innocent work at the same targets, in any order.
+//! Property tests: poison and innocent work share targets in random order.
 
 use arbtest::{arbitrary, arbtest};
 use ids::{Moment, ServiceName, StartTime, TargetIncarnation, WorkDigest};
@@ -8,78 +8,79 @@
 const ROUND: Duration = Duration::from_secs(1);
 const INNOCENT: u8 = 12;
 
-fn work(lethal: bool, number: u8) -> WorkDigest {
-    WorkDigest::of(&[&[u8::from(lethal), number]])
+fn work(poison: bool, number: u8) -> WorkDigest {
+    WorkDigest::of(&[&[u8::from(poison), number]])
 }
 
 fn service() -> ServiceName {
-    "desk".parse().expect("an id")
+    "desk".parse().expect("a valid ID")
 }
 
-/// Plays rounds: in each, some work runs together at one target, which ends if any of it is lethal.
-fn play(
+/// Runs 40 rounds. In each, random work shares one target, which crashes if any of it is poison.
+fn run_rounds(
     u: &mut arbitrary::Unstructured<'_>,
-    lethal: u8,
+    poison: u8,
     mut check: impl FnMut(&SuspectTable, Moment),
 ) -> arbitrary::Result<()> {
-    let mut book = SuspectTable::default();
+    let mut table = SuspectTable::default();
     let mut now = Moment::START;
     for round in 0..40 {
         now = now + ROUND;
-        let life = TargetIncarnation {
-            instance: format!("i-{round}").parse().expect("an id"),
+        let incarnation = TargetIncarnation {
+            instance: format!("i-{round}").parse().expect("a valid ID"),
             born: StartTime::default(),
         };
-        let mut beside = Vec::new();
-        for number in 0..lethal {
-            let known = !book.quarantined_versions(now, work(true, number), &service()).is_empty();
-            if !known && u.ratio(1, 3)? {
-                beside.push(work(true, number));
+        let mut running = Vec::new();
+        for number in 0..poison {
+            let quarantined =
+                !table.quarantined_versions(now, work(true, number), &service()).is_empty();
+            if !quarantined && u.ratio(1, 3)? {
+                running.push(work(true, number));
             }
         }
-        let ends = !beside.is_empty();
+        let crashes = !running.is_empty();
         for number in 0..INNOCENT {
             if u.ratio(1, 3)? {
-                beside.push(work(false, number));
+                running.push(work(false, number));
             }
         }
-        for work in &beside {
-            if ends {
-                book.record_break(
+        for work in &running {
+            if crashes {
+                table.record_break(
                     now,
                     *work,
                     &service(),
-                    TargetCrash { life: life.clone(), software: None },
+                    TargetCrash { life: incarnation.clone(), software: None },
                 );
             } else {
-                book.succeeded(*work);
+                table.succeeded(*work);
             }
         }
-        if ends {
-            book.connection_refused(now, &life);
+        if crashes {
+            table.connection_refused(now, &incarnation);
         }
-        check(&book, now + ROUND);
+        check(&table, now + ROUND);
     }
     Ok(())
 }
 
-fn each_seed(mut session: impl FnMut(&mut arbitrary::Unstructured<'_>) -> arbitrary::Result<()>) {
+fn each_seed(mut test: impl FnMut(&mut arbitrary::Unstructured<'_>) -> arbitrary::Result<()>) {
     for seed in 0..300_u64 {
-        arbtest(&mut session).seed(seed.wrapping_mul(0x9e37_79b9) << 32 | 16_384);
+        arbtest(&mut test).seed(seed.wrapping_mul(0x9e37_79b9) << 32 | 16_384);
     }
 }
 
 #[test]
-fn one_lethal_work_condemns_nobody_else() {
+fn single_poison_work_quarantines_no_other() {
     each_seed(|u| {
-        play(u, 1, |book, now| {
+        run_rounds(u, 1, |table, now| {
             for number in 0..INNOCENT {
                 let innocent = work(false, number);
-                let condemned = book.quarantined_versions(now, innocent, &service());
-                // Without a bound two lethal ones could hide behind each other for ever.
+                let quarantined = table.quarantined_versions(now, innocent, &service());
+                // The unconditional threshold applies even to innocent work.
                 assert!(
-                    condemned.is_empty()
-                        || book.crash_count(innocent) >= UNCONDITIONAL_QUARANTINE_CRASHES,
+                    quarantined.is_empty()
+                        || table.crash_count(innocent) >= UNCONDITIONAL_QUARANTINE_CRASHES,
                     "{number}"
                 );
             }
@@ -88,16 +89,16 @@
 }
 
 #[test]
-fn every_lethal_work_is_known_after_as_many_ends_as_are_sure() {
+fn poison_work_is_quarantined_after_unconditional_crashes() {
     each_seed(|u| {
-        play(u, 4, |book, now| {
+        run_rounds(u, 4, |table, now| {
             for number in 0..4 {
-                let ends = book.crash_count(work(true, number));
-                let known =
-                    !book.quarantined_versions(now, work(true, number), &service()).is_empty();
+                let crashes = table.crash_count(work(true, number));
+                let quarantined =
+                    !table.quarantined_versions(now, work(true, number), &service()).is_empty();
                 assert!(
-                    ends < UNCONDITIONAL_QUARANTINE_CRASHES || known,
-                    "{ends} ends of {number}"
+                    crashes < UNCONDITIONAL_QUARANTINE_CRASHES || quarantined,
+                    "{crashes} crashes of {number}"
                 );
             }
         })
