--- a/crates/placement/src/chooser.rs
+++ b/crates/placement/src/chooser.rs
@@ -1,8 +1,8 @@
-//! Picks a target for a sample.
+//! Chooses a target for a sample.
 //!
-//! What a keeper knows of a target comes with the answers of the target's home: how many run,
-//! how many wait, the limit, the version. The keeper corrects it by what it placed since. The
-//! candidates are a few drawn from the pool, so the cost does not grow with the fleet.
+//! Responses of a target's home carry its load, limit and weight version. The keeper adds the work
+//! that it placed since then. Only a few candidates of the pool are compared, so the cost does not
+//! depend on the size of the pool.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,37 +11,37 @@
 use ids::{ModelVersion, Moment, TargetId, VersionWindow};
 use rand::Rng;
 
-/// Candidates weighed for one sample.
+/// Maximum number of candidates compared for one sample.
 pub const CANDIDATES: usize = 8;
-/// How long a target is left alone after its first failure; doubles with each further one.
-const FIRST_PENALTY: Duration = Duration::from_millis(200);
-/// Longest time a failing target is left alone.
-const MOST_PENALTY: Duration = Duration::from_secs(5);
-/// Work a keeper places beyond a target's limit, as one part in this many, so that the next
-/// sample is at the home when a place falls free.
-const AHEAD_PARTS: u32 = 8;
-/// How long a version told by a home is believed.
-const VERSION_TRUST: Duration = Duration::from_millis(300);
-/// The limit assumed of an engine before its home has told its own.
-const FIRST_ENGINE_LIMIT: u32 = 4;
-
-/// What a target's home says along with its answers.
+/// Backoff after the first failure; doubles with each further failure.
+const FIRST_BACKOFF: Duration = Duration::from_millis(200);
+/// Maximum backoff after failures.
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
+/// A keeper exceeds a target's limit by this fraction (1/n), so that the next sample already waits
+/// at the home when a slot becomes free.
+const OVERCOMMIT_DIVISOR: u32 = 8;
+/// How long a reported version is considered current.
+const VERSION_TTL: Duration = Duration::from_millis(300);
+/// Limit assumed for an engine until its home reports one.
+const DEFAULT_ENGINE_LIMIT: u32 = 4;
+
+/// Load information in responses of a target's home.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TargetHint {
-    /// Asks running at the target.
+    /// Requests running at the target.
     pub running: u32,
-    /// Asks waiting at its home.
+    /// Requests waiting at the home.
     pub waiting: u32,
-    /// How many may run at once.
+    /// Maximum number of running requests.
     pub limit: u32,
-    /// The version it holds, if that is known.
+    /// Weight version of the target, if known.
     pub version: Option<ModelVersion>,
 }
 
-/// A way to choose targets, told what becomes of the work placed.
+/// Strategy for choosing targets. Receives the outcome of all placed work.
 pub trait PlacementPolicy: fmt::Debug {
-    /// Picks from `pool` for work that needs a version of `window`, if any; `None` when the
-    /// work had better wait.
+    /// Chooses a target from `pool` for work that accepts versions of `window`. `None` if no target
+    /// is usable now.
     fn choose<'a>(
         &mut self,
         now: Moment,
@@ -50,44 +50,44 @@
         rng: &mut impl Rng,
     ) -> Option<&'a TargetId>;
 
-    /// Sets the limit to assume of targets whose home has not told its own yet.
+    /// Sets the limit assumed for targets whose home has not reported one.
     fn assume_limit(&mut self, limit: u32);
 
-    /// When a target that rests may be tried again.
+    /// Returns the earliest end of a backoff after `now`.
     fn next_backoff_end(&self, now: Moment) -> Option<Moment>;
 
-    /// Notes work placed at a target.
+    /// Records work placed at a target.
     fn placed(&mut self, id: &TargetId);
 
-    /// Notes that placed work ended, well or not.
+    /// Records that placed work ended, whether it succeeded or not.
     fn ended(&mut self, id: &TargetId);
 
-    /// Takes a hint from the target's home.
+    /// Records a hint from the target's home.
     fn hinted(&mut self, now: Moment, id: &TargetId, hint: &TargetHint);
 
-    /// Notes good work.
+    /// Records a success, which ends the backoff.
     fn succeeded(&mut self, id: &TargetId);
 
-    /// Notes a failure.
+    /// Records a failure, which starts or extends the backoff.
     fn failed(&mut self, now: Moment, id: &TargetId);
 
-    /// Notes a refusal that asks to come back later.
+    /// Records a refusal that must not be retried before `retry_after`.
     fn refused(&mut self, now: Moment, id: &TargetId, retry_after: Duration);
 }
 
 #[derive(Debug, Clone, Default)]
 struct TargetView {
-    /// Samples placed by this keeper and not ended.
-    mine: u32,
-    /// Asks of others, at the time of the last hint.
-    others: u32,
+    /// Requests placed by this keeper and still running or waiting.
+    own_requests: u32,
+    /// Requests of others at the time of the last hint.
+    other_requests: u32,
     limit: Option<u32>,
     version: Option<(ModelVersion, Moment)>,
     failures: u32,
-    rest_until: Moment,
+    backoff_until: Moment,
 }
 
-/// A keeper's view of the targets of its pool.
+/// One keeper's view of the targets of its pool.
 #[derive(Debug, Clone)]
 pub struct TargetChooser {
     views: BTreeMap<TargetId, TargetView>,
@@ -96,7 +96,7 @@
 
 impl Default for TargetChooser {
     fn default() -> Self {
-        Self::with_first_limit(FIRST_ENGINE_LIMIT)
+        Self::with_first_limit(DEFAULT_ENGINE_LIMIT)
     }
 }
 
@@ -110,7 +110,7 @@
     ) -> Option<&'a TargetId> {
         let count = pool.len().min(CANDIDATES);
         let start = if pool.is_empty() { 0 } else { rng.random_range(0..pool.len()) };
-        // A run from a random start: no shuffle, no allocation, and all of a small pool.
+        // Strides from a random start: visits distinct targets without a shuffle or an allocation.
         (0..count)
             .map(|offset| (start + offset * stride(pool.len())) % pool.len())
             .map(|index| &pool[index])
@@ -123,22 +123,22 @@
     }
 
     fn next_backoff_end(&self, now: Moment) -> Option<Moment> {
-        self.views.values().map(|view| view.rest_until).filter(|until| *until > now).min()
+        self.views.values().map(|view| view.backoff_until).filter(|until| *until > now).min()
     }
 
     fn placed(&mut self, id: &TargetId) {
-        self.views.entry(id.clone()).or_default().mine += 1;
+        self.views.entry(id.clone()).or_default().own_requests += 1;
     }
 
     fn ended(&mut self, id: &TargetId) {
         if let Some(view) = self.views.get_mut(id) {
-            view.mine = view.mine.saturating_sub(1);
+            view.own_requests = view.own_requests.saturating_sub(1);
         }
     }
 
     fn hinted(&mut self, now: Moment, id: &TargetId, hint: &TargetHint) {
         let view = self.views.entry(id.clone()).or_default();
-        view.others = (hint.running + hint.waiting).saturating_sub(view.mine);
+        view.other_requests = (hint.running + hint.waiting).saturating_sub(view.own_requests);
         view.limit = Some(hint.limit);
         view.version = hint.version.map(|version| (version, now)).or(view.version);
     }
@@ -146,50 +146,50 @@
     fn succeeded(&mut self, id: &TargetId) {
         let view = self.views.entry(id.clone()).or_default();
         view.failures = 0;
-        view.rest_until = Moment::START;
+        view.backoff_until = Moment::START;
     }
 
     fn failed(&mut self, now: Moment, id: &TargetId) {
         let view = self.views.entry(id.clone()).or_default();
-        let rest =
-            FIRST_PENALTY.saturating_mul(1_u32.checked_shl(view.failures).unwrap_or(u32::MAX));
+        let backoff =
+            FIRST_BACKOFF.saturating_mul(1_u32.checked_shl(view.failures).unwrap_or(u32::MAX));
         view.failures = (view.failures + 1).min(16);
-        view.rest_until = now + rest.min(MOST_PENALTY);
+        view.backoff_until = now + backoff.min(MAX_BACKOFF);
     }
 
     fn refused(&mut self, now: Moment, id: &TargetId, retry_after: Duration) {
         let view = self.views.entry(id.clone()).or_default();
-        view.rest_until = view.rest_until.max(now + retry_after);
+        view.backoff_until = view.backoff_until.max(now + retry_after);
     }
 }
 
 impl TargetChooser {
-    /// A chooser that takes targets to allow `first_limit` requests until their homes say
-    /// otherwise.
+    /// Creates a chooser that assumes `first_limit` for targets whose home has not reported a
+    /// limit.
     pub const fn with_first_limit(first_limit: u32) -> Self {
         Self { views: BTreeMap::new(), first_limit }
     }
 
-    /// Picks although every target rests: the one whose rest ends first. Resting must never
-    /// leave a service without any target.
+    /// Chooses the target whose backoff ends first. Fallback for when all targets are backed off,
+    /// so that a service always has a target.
     pub fn choose_backed_off<'a>(&self, pool: &'a [TargetId]) -> Option<&'a TargetId> {
-        let rest_end = |id: &TargetId| self.views.get(id).map(|view| view.rest_until);
-        pool.iter().filter(|id| !self.is_full(id)).min_by_key(|id| rest_end(id))
+        let backoff_end = |id: &TargetId| self.views.get(id).map(|view| view.backoff_until);
+        pool.iter().filter(|id| !self.is_full(id)).min_by_key(|id| backoff_end(id))
     }
 
     fn is_usable(&self, now: Moment, id: &TargetId, window: Option<VersionWindow>) -> bool {
         let Some(view) = self.views.get(id) else {
             return true;
         };
-        if now < view.rest_until {
+        if now < view.backoff_until {
             return false;
         }
-        // A version seen a moment ago is believed; later the home is asked anew.
-        let unfit = |(version, seen_at): (ModelVersion, Moment)| {
-            now.since(seen_at) < VERSION_TRUST
+        // After `VERSION_TTL` the version may have changed, and the home decides.
+        let is_outside_window = |(version, reported_at): (ModelVersion, Moment)| {
+            now.since(reported_at) < VERSION_TTL
                 && window.is_some_and(|window| !window.contains(version))
         };
-        if view.version.is_some_and(unfit) {
+        if view.version.is_some_and(is_outside_window) {
             return false;
         }
         !self.is_full(id)
@@ -198,22 +198,22 @@
     fn is_full(&self, id: &TargetId) -> bool {
         let Some(view) = self.views.get(id) else { return false };
         let limit = view.limit.unwrap_or(self.first_limit);
-        view.mine + view.others >= limit + limit.div_ceil(AHEAD_PARTS)
+        view.own_requests + view.other_requests >= limit + limit.div_ceil(OVERCOMMIT_DIVISOR)
     }
 
-    /// Load in thousandths of the limit, so that unequal targets compare.
+    /// Load in thousandths of the limit, to compare targets with different limits.
     fn load(&self, id: &TargetId) -> u32 {
         let Some(view) = self.views.get(id) else {
             return 0;
         };
         let limit = view.limit.unwrap_or(self.first_limit).max(1);
-        (view.mine + view.others).saturating_mul(1_000) / limit
+        (view.own_requests + view.other_requests).saturating_mul(1_000) / limit
     }
 }
 
-/// A step through the pool that visits distinct targets: one that shares no factor with `len`.
+/// Returns a stride coprime to `len`, so that it visits distinct targets.
 fn stride(len: usize) -> usize {
-    /// Prime, and larger than any pool's common factors are likely to matter.
+    /// A prime, so coprime to every `len` that is not a multiple of it.
     const STRIDE: usize = 7_919;
     if len.is_multiple_of(STRIDE) { 1 } else { STRIDE }
 }
--- a/crates/placement/src/fair.rs
+++ b/crates/placement/src/fair.rs
@@ -1,24 +1,25 @@
-//! Fair shares between trainers, in tokens.
+//! Fair sharing between trainers, measured in tokens.
 //!
-//! Start-time fair queueing in its simplest form: the trainer served least so far goes first.
-//! A trainer that was away starts at the least of those present, so it gets no arrears.
+//! A simple form of start-time fair queueing: the trainer served least goes first. A returning
+//! trainer starts at the minimum of the active trainers, so it gains no credit while it is
+//! inactive.
 
 use std::collections::BTreeMap;
 
 use ids::{TokenCount, TrainerId};
 
-/// Tokens served to each trainer, as far as it matters for who goes next.
+/// Tokens served to each trainer.
 #[derive(Debug, Clone, Default)]
 pub struct FairShare {
     served: BTreeMap<TrainerId, u64>,
 }
 
 impl FairShare {
-    /// Notes that `trainer` wants service, beside those `present`.
-    pub fn join<'a>(&mut self, trainer: &TrainerId, present: impl Iterator<Item = &'a TrainerId>) {
-        let least = present.filter_map(|other| self.served.get(other)).min().copied();
+    /// Adds `trainer` to the `active` trainers. Raises its served tokens to their minimum.
+    pub fn join<'a>(&mut self, trainer: &TrainerId, active: impl Iterator<Item = &'a TrainerId>) {
+        let min_served = active.filter_map(|other| self.served.get(other)).min().copied();
         let served = self.served.entry(trainer.clone()).or_default();
-        *served = (*served).max(least.unwrap_or_default());
+        *served = (*served).max(min_served.unwrap_or_default());
     }
 
     /// Charges tokens to a trainer.
@@ -26,7 +27,7 @@
         *self.served.entry(trainer.clone()).or_default() += u64::from(tokens.get());
     }
 
-    /// Tokens charged to a trainer.
+    /// Returns the tokens charged to a trainer.
     pub fn served(&self, trainer: &TrainerId) -> u64 {
         self.served.get(trainer).copied().unwrap_or_default()
     }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,14 +1,12 @@
-//! Where work goes, and when a target may take it.
+//! Placement of work at targets, and admission to a target.
 //!
-//! Two decisions, apart on purpose:
+//! * [`TargetChooser`] runs at the keeper of a step. It chooses a target for a sample from a few
+//!   candidates, by the load that their homes reported and the work that it placed since.
+//! * [`TargetQueue`] runs at the target's home, the only box that admits work to that target.
+//!   It enforces exact limits and fairness between trainers, and rejects work while the version
+//!   of the replica is in doubt.
 //!
-//! * [`TargetChooser`] runs where a step is kept. It picks a target for a sample from a few
-//!   candidates, by what the targets' homes last told it and what it placed since.
-//! * [`TargetQueue`] runs at the target's home, the one box that admits work to that target.
-//!   Limits are exact there, fairness between trainers is decided there, and a replica whose
-//!   version is in doubt gets no work there.
-//!
-//! A refusal is typed: the work truly did not run, or it may have.
+//! A [`Refusal`] states whether the work definitely did not run or may have run.
 
 mod chooser;
 mod fair;
--- a/crates/placement/src/queue.rs
+++ b/crates/placement/src/queue.rs
@@ -1,4 +1,4 @@
-//! The one admission queue of a target, at its home.
+//! Admission queue of a target, at its home.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -10,70 +10,70 @@
     FairShare, NotRun, OrderOutcome, Refusal, ReplicaReading, ReplicaState, ReplicaStatus,
 };
 
-/// Entries that may wait for each one that may run.
+/// Maximum number of waiting requests per running slot.
 const WAITING_PER_RUNNING: usize = 2;
-/// What a caller is told to wait while the target swaps or is in doubt.
+/// Retry delay while the target swaps or is in doubt.
 const DOUBT_RETRY: Duration = Duration::from_millis(250);
-/// What a caller is told to wait when the queue is full, before jitter.
+/// Retry delay when the queue is full, before jitter.
 const FULL_RETRY: Duration = Duration::from_millis(100);
-/// What a caller is told to wait before trying a target that is gone.
-const GONE_RETRY: Duration = Duration::from_secs(5);
+/// Retry delay when the target is leaving or down.
+const UNAVAILABLE_RETRY: Duration = Duration::from_secs(5);
 
-/// Names one ask at a home.
+/// Identifies one admission request at a home.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TicketId(u64);
 
-/// A wish to use the target.
+/// A request to use the target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AdmissionRequest {
-    /// For whom; `None` for plain requests, which share one queue.
+    /// The requesting trainer; `None` for plain requests, which share one queue.
     pub trainer: Option<TrainerId>,
-    /// Versions that will do; `None` where none matter.
+    /// Acceptable weight versions; `None` if any will do.
     pub window: Option<VersionWindow>,
-    /// The latest moment at which work may begin.
+    /// Latest time at which the work may start.
     pub deadline: Moment,
 }
 
-/// The answer to an ask.
+/// Response to an admission request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// Begin now.
+    /// The work may start now.
     Admitted(TicketId),
-    /// Wait for a [`QueueEvent`].
+    /// The request waits; a [`QueueEvent`] follows.
     Queued(TicketId),
-    /// It will not run here.
+    /// The work will not run here.
     Refused(Refusal),
 }
 
-/// News for a waiting ask.
+/// Outcome of a waiting request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QueueEvent {
-    /// Begin now.
+    /// The work may start now.
     Go(TicketId),
-    /// It will not run here.
+    /// The work will not run here.
     Refused(TicketId, Refusal),
 }
 
 #[derive(Debug, Clone)]
-struct Waiting {
+struct WaitingRequest {
     ticket: TicketId,
-    ask: AdmissionRequest,
+    request: AdmissionRequest,
 }
 
-/// Admission to one target.
+/// Admission queue of one target.
 #[derive(Debug, Clone)]
 pub struct TargetQueue {
     kind: TargetKind,
     limit: usize,
     replica: ReplicaState,
     running: BTreeMap<TicketId, Option<TrainerId>>,
-    waiting: VecDeque<Waiting>,
+    waiting: VecDeque<WaitingRequest>,
     shares: FairShare,
     next_ticket: u64,
 }
 
 impl TargetQueue {
-    /// An empty queue; an engine gets no work before its first reading.
+    /// Creates an empty queue. An engine admits no work before its first reading.
     pub fn new(kind: TargetKind, limit: usize) -> Self {
         Self {
             kind,
@@ -86,143 +86,143 @@
         }
     }
 
-    /// Sets how many may run at once.
+    /// Sets the maximum number of running requests, at least 1.
     pub fn set_limit(&mut self, limit: usize) {
         self.limit = limit.max(1);
     }
 
-    /// How many may run at once.
+    /// Maximum number of running requests.
     pub const fn limit(&self) -> usize {
         self.limit
     }
 
-    /// Asks running now.
+    /// Number of running requests.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Asks waiting now.
+    /// Number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// For whom an admitted ask runs.
+    /// Returns the trainer of a running request.
     pub fn trainer_of(&self, ticket: TicketId) -> Option<&TrainerId> {
         self.running.get(&ticket)?.as_ref()
     }
 
-    /// What is known of the replica.
+    /// State of the replica, from its readings and orders.
     pub const fn replica(&self) -> &ReplicaState {
         &self.replica
     }
 
-    /// Takes a wish to use the target.
-    pub fn request_admission(&mut self, now: Moment, ask: AdmissionRequest) -> Admission {
-        if now >= ask.deadline {
+    /// Admits, queues or refuses a request.
+    pub fn request_admission(&mut self, now: Moment, request: AdmissionRequest) -> Admission {
+        if now >= request.deadline {
             return Admission::Refused(Refusal::not_run(NotRun::Expired, Duration::ZERO));
         }
-        if let Some(refusal) = self.refusal(&ask) {
+        if let Some(refusal) = self.refusal(&request) {
             return Admission::Refused(refusal);
         }
         let ticket = TicketId(self.next_ticket);
-        if self.can_start(&ask) && self.waiting.is_empty() {
+        if self.can_start(&request) && self.waiting.is_empty() {
             self.next_ticket += 1;
-            self.start(ticket, &ask);
+            self.start(ticket, &request);
             return Admission::Admitted(ticket);
         }
-        if self.is_full_for(ask.trainer.as_ref()) {
+        if self.is_full_for(request.trainer.as_ref()) {
             return Admission::Refused(Refusal::not_run(NotRun::Overloaded, FULL_RETRY));
         }
         self.next_ticket += 1;
-        if let Some(trainer) = &ask.trainer {
-            let present = self.waiting.iter().filter_map(|waiting| waiting.ask.trainer.as_ref());
-            self.shares.join(trainer, present.chain(self.running.values().flatten()));
+        if let Some(trainer) = &request.trainer {
+            let active = self.waiting.iter().filter_map(|waiting| waiting.request.trainer.as_ref());
+            self.shares.join(trainer, active.chain(self.running.values().flatten()));
         }
-        self.waiting.push_back(Waiting { ticket, ask });
+        self.waiting.push_back(WaitingRequest { ticket, request });
         Admission::Queued(ticket)
     }
 
-    /// Notes that an admitted ask ended, having used `tokens`.
+    /// Records that an admitted request ended, and charges `tokens` to its trainer.
     pub fn ended(&mut self, ticket: TicketId, tokens: TokenCount) {
         if let Some(Some(trainer)) = self.running.remove(&ticket) {
             self.shares.charge(&trainer, tokens);
         }
     }
 
-    /// Forgets an ask whose asker went away.
+    /// Removes a request whose caller disconnected.
     pub fn withdraw(&mut self, ticket: TicketId) {
         self.waiting.retain(|waiting| waiting.ticket != ticket);
         self.running.remove(&ticket);
     }
 
-    /// News for waiting asks; call after every change.
+    /// Returns outcomes for waiting requests. Call after every state change.
     pub fn poll(&mut self, now: Moment) -> Vec<QueueEvent> {
-        let mut events = self.refuse_hopeless(now);
+        let mut events = self.refuse_unserviceable(now);
         while let Some(waiting) = self.next_to_start() {
-            self.start(waiting.ticket, &waiting.ask);
+            self.start(waiting.ticket, &waiting.request);
             events.push(QueueEvent::Go(waiting.ticket));
         }
         events
     }
 
-    /// Takes a reading whose request was sent at `asked_at`.
-    pub fn read(&mut self, asked_at: Moment, reading: &ReplicaReading) {
-        self.replica.read(asked_at, reading);
+    /// Applies a reading that was requested at `requested_at`.
+    pub fn read(&mut self, requested_at: Moment, reading: &ReplicaReading) {
+        self.replica.read(requested_at, reading);
     }
 
-    /// Notes that the target does not answer.
+    /// Records that the target does not respond.
     pub fn unreachable(&mut self) {
         self.replica.unreachable();
     }
 
-    /// Notes that the target is said to be leaving.
+    /// Records that the platform or a peer reports the target as leaving.
     pub const fn mark_leaving(&mut self) {
         self.replica.mark_leaving();
     }
 
-    /// Notes that the platform's list no longer says that the target is leaving. An engine is
-    /// believed only in a new life; others have no life to tell, so the list decides.
+    /// Records that the platform no longer lists the target as leaving. Ignored for engines: only a
+    /// new incarnation ends their leaving state. Other targets report no incarnation.
     pub fn clear_leaving(&mut self) {
         if self.kind != TargetKind::Engine && self.replica.status() == ReplicaStatus::Leaving {
             self.replica = ReplicaState::default();
         }
     }
 
-    /// Notes that an order went out.
+    /// Records that a swap order was sent; it may take effect until `deadline`.
     pub const fn order_sent(&mut self, version: ModelVersion, deadline: Moment) {
         self.replica.order_sent(version, deadline);
     }
 
-    /// Takes the outcome of the order last sent.
+    /// Applies the outcome of the last order.
     pub fn order_completed(&mut self, now: Moment, version: ModelVersion, outcome: OrderOutcome) {
         self.replica.order_completed(now, version, outcome);
     }
 
-    /// Notes a stamp that contradicts the version believed in.
+    /// Records a response stamped with a version other than the expected one.
     pub fn contradicted(&mut self, now: Moment) {
         self.replica.contradicted(now);
     }
 
-    /// Whether a trainer has its share of the waiting places. Shares are even among those
-    /// present, so a trainer that fills the queue cannot keep another out of it.
+    /// Whether a trainer has used up its share of the queue. Shares are equal among the active
+    /// trainers, so that none can fill the queue for the others.
     fn is_full_for(&self, trainer: Option<&TrainerId>) -> bool {
-        let places = self.limit * WAITING_PER_RUNNING;
-        let Some(trainer) = trainer else { return self.waiting.len() >= places };
-        let waiting = self.waiting.iter().filter_map(|waiting| waiting.ask.trainer.as_ref());
-        let present: BTreeSet<&TrainerId> =
+        let capacity = self.limit * WAITING_PER_RUNNING;
+        let Some(trainer) = trainer else { return self.waiting.len() >= capacity };
+        let waiting = self.waiting.iter().filter_map(|waiting| waiting.request.trainer.as_ref());
+        let active: BTreeSet<&TrainerId> =
             waiting.clone().chain(self.running.values().flatten()).chain([trainer]).collect();
-        let mine = waiting.filter(|other| *other == trainer).count();
-        mine >= (places / present.len()).max(1)
+        let own = waiting.filter(|other| *other == trainer).count();
+        own >= (capacity / active.len()).max(1)
     }
 
-    fn refusal(&self, ask: &AdmissionRequest) -> Option<Refusal> {
+    fn refusal(&self, request: &AdmissionRequest) -> Option<Refusal> {
         let status = self.replica.status();
         let (reason, retry_after) = match status {
-            ReplicaStatus::Leaving => (NotRun::Leaving, GONE_RETRY),
-            ReplicaStatus::Down => (NotRun::Unreachable, GONE_RETRY),
+            ReplicaStatus::Leaving => (NotRun::Leaving, UNAVAILABLE_RETRY),
+            ReplicaStatus::Down => (NotRun::Unreachable, UNAVAILABLE_RETRY),
             ReplicaStatus::InDoubt => (NotRun::InDoubt, DOUBT_RETRY),
             ReplicaStatus::Serving(held) | ReplicaStatus::Swapping(held) => {
-                let window = ask.window?;
+                let window = request.window?;
                 if window.contains(held) {
                     return None;
                 }
@@ -236,55 +236,57 @@
         Some(Refusal::not_run(reason, retry_after))
     }
 
-    fn can_start(&self, ask: &AdmissionRequest) -> bool {
+    fn can_start(&self, request: &AdmissionRequest) -> bool {
         if self.running.len() >= self.limit {
             return false;
         }
         match self.replica.status() {
-            ReplicaStatus::Serving(held) => ask.window.is_none_or(|window| window.contains(held)),
-            // Plain services and scorers need no reading of a version first.
+            ReplicaStatus::Serving(held) => {
+                request.window.is_none_or(|window| window.contains(held))
+            }
+            // Plain services and scorers need no version reading.
             ReplicaStatus::Unread => self.kind != TargetKind::Engine,
             _ => false,
         }
     }
 
-    fn start(&mut self, ticket: TicketId, ask: &AdmissionRequest) {
-        self.running.insert(ticket, ask.trainer.clone());
+    fn start(&mut self, ticket: TicketId, request: &AdmissionRequest) {
+        self.running.insert(ticket, request.trainer.clone());
     }
 
-    fn refuse_hopeless(&mut self, now: Moment) -> Vec<QueueEvent> {
+    fn refuse_unserviceable(&mut self, now: Moment) -> Vec<QueueEvent> {
         let mut events = Vec::new();
-        let mut kept = VecDeque::with_capacity(self.waiting.len());
+        let mut remaining = VecDeque::with_capacity(self.waiting.len());
         for waiting in std::mem::take(&mut self.waiting) {
-            let expired = now >= waiting.ask.deadline;
+            let expired = now >= waiting.request.deadline;
             let refusal = if expired {
                 Some(Refusal::not_run(NotRun::Expired, Duration::ZERO))
             } else {
-                self.refusal(&waiting.ask)
+                self.refusal(&waiting.request)
             };
             match refusal {
                 Some(refusal) => events.push(QueueEvent::Refused(waiting.ticket, refusal)),
-                None => kept.push_back(waiting),
+                None => remaining.push_back(waiting),
             }
         }
-        self.waiting = kept;
+        self.waiting = remaining;
         events
     }
 
-    /// The waiting ask whose trainer was served least; the oldest of equals.
-    fn next_to_start(&mut self) -> Option<Waiting> {
-        let served = |waiting: &Waiting| {
-            waiting.ask.trainer.as_ref().map_or(0, |trainer| self.share_of(trainer))
+    /// Removes the next startable request: of the trainer served least, the oldest first.
+    fn next_to_start(&mut self) -> Option<WaitingRequest> {
+        let served = |waiting: &WaitingRequest| {
+            waiting.request.trainer.as_ref().map_or(0, |trainer| self.served_estimate(trainer))
         };
-        let startable = self.waiting.iter().enumerate().filter(|(_, w)| self.can_start(&w.ask));
+        let startable = self.waiting.iter().enumerate().filter(|(_, w)| self.can_start(&w.request));
         let (at, _) = startable.min_by_key(|(at, waiting)| (served(waiting), *at))?;
         self.waiting.remove(at)
     }
 
-    /// Running asks count as if they had been charged a little, so that one trainer's burst
-    /// does not take every free place before its first answer ends.
-    fn share_of(&self, trainer: &TrainerId) -> u64 {
-        /// Tokens a running ask is taken to use until it ends.
+    /// Served tokens of a trainer, plus an estimate for its running requests. Without it, a burst
+    /// of one trainer would take all free slots before its first request is charged.
+    fn served_estimate(&self, trainer: &TrainerId) -> u64 {
+        /// Estimated tokens of a running request.
         const RUNNING_TOKENS: u64 = 256;
         let running = self.running.values().flatten().filter(|other| *other == trainer).count();
         self.shares.served(trainer) + RUNNING_TOKENS * running as u64
--- a/crates/placement/src/refusal.rs
+++ b/crates/placement/src/refusal.rs
@@ -1,76 +1,76 @@
-//! Typed refusals: "not run" is said only when it is true.
+//! Typed refusals. "Not run" guarantees that the work did not run.
 
 use std::time::Duration;
 
 use ids::ModelVersion;
 use serde::{Deserialize, Serialize};
 
-/// Why work did not run. Nothing of it reached the target, or the target said so itself.
+/// Why work did not run. Nothing was sent to the target, or the target refused it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "snake_case")]
 pub enum NotRun {
-    /// The queue cannot serve it before its deadline.
-    #[error("the target is overloaded: come back after the stated time")]
+    /// No free capacity.
+    #[error("the target is overloaded: retry after the given delay")]
     Overloaded,
     /// The target is stopping.
     #[error("the target is leaving: use another target")]
     Leaving,
-    /// The target's version or state is being read back.
-    #[error("the target's state is in doubt: use another target, or come back later")]
+    /// The target's version or state must be read again first.
+    #[error("the target's state is in doubt: use another target or retry later")]
     InDoubt,
-    /// The target holds a version that is too old.
+    /// The target's version is older than the staleness bound allows.
     #[error("the target holds version {held}: use a target that holds a newer one")]
     TooOld {
-        /// The version it holds.
+        /// The target's version.
         held: ModelVersion,
     },
-    /// The target holds a version that nobody has named, or not yet.
+    /// The target's version is not named yet, or never was.
     #[error("the target holds version {held}, which is not named: use another target")]
     NotNamed {
-        /// The version it holds.
+        /// The target's version.
         held: ModelVersion,
     },
-    /// The target or its box cannot be reached.
-    #[error("the target cannot be reached: use another target, or come back later")]
+    /// The target or its box is unreachable.
+    #[error("the target cannot be reached: use another target or retry later")]
     Unreachable,
     /// No such target, pool, trainer or step.
-    #[error("nothing of this name is known: check the name, or apply its configuration")]
+    #[error("no such name: check it, or apply its configuration")]
     Unknown,
-    /// The deadline passed before work began.
+    /// The deadline passed before the work started.
     #[error("the deadline passed before the work began: allow more time")]
     Expired,
     /// The box is stopping.
-    #[error("the box is stopping: ask another box")]
+    #[error("the box is stopping: use another box")]
     Stopping,
-    /// The target refused before running.
-    #[error("the target refused before running: see its own message")]
+    /// The target refused the work before running it.
+    #[error("the target refused before running: see the message of the target")]
     RefusedByTarget,
 }
 
-/// A refusal, and when to come back.
+/// Refusal of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "snake_case")]
 pub enum Refusal {
-    /// It did not run.
+    /// The work did not run.
     #[error("not run: {reason}")]
     NotRun {
-        /// Why.
+        /// Reason of the refusal.
         reason: NotRun,
-        /// When to come back.
+        /// Earliest time for a retry.
         retry_after: Duration,
     },
-    /// It may have run.
-    #[error("unknown: the work may have run; look at its effect before sending it again")]
+    /// The work may have run.
+    #[error("unknown: the work may have run; check its effect before sending it again")]
     Unknown,
 }
 
 impl Refusal {
-    /// A "not run" refusal.
+    /// Creates a "not run" refusal.
     pub const fn not_run(reason: NotRun, retry_after: Duration) -> Self {
         Self::NotRun { reason, retry_after }
     }
 
-    /// Whether the work surely did not run.
+    /// Whether the work definitely did not run.
     pub const fn definitely_not_run(&self) -> bool {
         matches!(self, Self::NotRun { .. })
     }
--- a/crates/placement/src/replica.rs
+++ b/crates/placement/src/replica.rs
@@ -1,26 +1,26 @@
-//! What a home knows of its engine's weights.
+//! State of an engine's weights, as tracked by its home.
 //!
-//! An order that ended without a definite answer leaves the replica in doubt. Only a reading
-//! that began after the order could no longer take effect clears the doubt; until then the
-//! replica gets no work.
+//! An order without a definite outcome leaves the replica in doubt, and it gets no work. The doubt
+//! is resolved by a reading that was requested after the order's deadline, or that reports the
+//! ordered version or a new incarnation.
 
 use std::fmt;
 
 use ids::{FencingToken, Incarnation, ModelVersion, Moment};
 use serde::{Deserialize, Serialize};
 
-/// Names one order, so that an engine's report can be matched with it.
+/// Identifies one order, to match it with the engine's report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct OrderId(u64);
 
 impl OrderId {
-    /// Wraps a bare number.
+    /// Wraps a raw ID.
     pub const fn new(id: u64) -> Self {
         Self(id)
     }
 
-    /// The bare number.
+    /// Returns the raw ID.
     pub const fn get(self) -> u64 {
         self.0
     }
@@ -32,48 +32,48 @@
     }
 }
 
-/// How an order ended, as far as the sender can tell.
+/// Outcome of an order, as observed by the sender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderOutcome {
-    /// The engine says that it holds the version.
+    /// The engine reports that it holds the version.
     Done,
-    /// The engine refused it; nothing changed.
+    /// The engine refused the order; nothing changed.
     Refused,
-    /// No definite answer.
+    /// No definite outcome.
     Unknown,
 }
 
-/// One reading of an engine's own state.
+/// One reading of an engine's state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaReading {
-    /// Which life of the engine answered.
+    /// Incarnation of the engine that responded.
     pub incarnation: Incarnation,
-    /// The version it holds; `None` while it holds none.
+    /// The weight version; `None` if none is loaded.
     pub version: Option<ModelVersion>,
-    /// Whether it is loading another version now.
+    /// Whether another version is being loaded.
     pub loading: bool,
-    /// Highest fencing token it has obeyed.
+    /// Highest fencing token that the engine accepted.
     pub token: FencingToken,
-    /// Whether it is stopping.
+    /// Whether the engine is stopping.
     pub leaving: bool,
 }
 
-/// Whether a replica may get work.
+/// Status of a replica, which decides whether it gets work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReplicaStatus {
-    /// Never read yet.
+    /// Not read yet.
     Unread,
     /// Holds this version.
     Serving(ModelVersion),
-    /// Swaps to this version; streams go on, new work waits.
+    /// Swaps to this version. Running streams continue, new work waits.
     Swapping(ModelVersion),
-    /// A swap ended without a definite answer, or the engine contradicts what was ordered.
+    /// A swap had no definite outcome, or the engine contradicts the last order.
     InDoubt,
     /// Stopping.
     Leaving,
-    /// Does not answer.
+    /// Does not respond.
     Down,
 }
 
@@ -90,15 +90,16 @@
     }
 }
 
-/// A home's knowledge of one replica.
+/// State of one replica, tracked by its home.
 #[derive(Debug, Clone)]
 pub struct ReplicaState {
     status: ReplicaStatus,
     incarnation: Option<Incarnation>,
-    /// The version ordered last; a late effect of that order changes nothing once it is held.
+    /// The version of the last order. A reading of it resolves the doubt early: the order can have
+    /// no further effect.
     ordered: Option<ModelVersion>,
-    /// Readings that began before this moment prove nothing.
-    trust_from: Moment,
+    /// Readings requested before this time are ignored.
+    valid_from: Moment,
 }
 
 impl Default for ReplicaState {
@@ -107,65 +108,66 @@
             status: ReplicaStatus::Unread,
             incarnation: None,
             ordered: None,
-            trust_from: Moment::START,
+            valid_from: Moment::START,
         }
     }
 }
 
 impl ReplicaState {
-    /// Whether the replica may get work.
+    /// Status of the replica.
     pub const fn status(&self) -> ReplicaStatus {
         self.status
     }
 
-    /// The life of the engine last read.
+    /// Incarnation of the engine at the last reading.
     pub const fn incarnation(&self) -> Option<Incarnation> {
         self.incarnation
     }
 
-    /// Notes that an order went out; it may take effect until `deadline`.
+    /// Records that an order was sent; it may take effect until `deadline`.
     pub const fn order_sent(&mut self, version: ModelVersion, deadline: Moment) {
-        self.trust_from = deadline;
+        self.valid_from = deadline;
         self.ordered = Some(version);
         self.status = ReplicaStatus::Swapping(version);
     }
 
-    /// Takes the outcome of the order last sent.
+    /// Applies the outcome of the last order.
     pub fn order_completed(&mut self, now: Moment, version: ModelVersion, outcome: OrderOutcome) {
         if self.status != ReplicaStatus::Swapping(version) {
             return;
         }
         match outcome {
             OrderOutcome::Done => {
-                self.trust_from = now;
+                self.valid_from = now;
                 self.status = ReplicaStatus::Serving(version);
             }
-            // The version from before is still there, but only a reading names it.
+            // The engine still holds its previous version, which the next reading reports.
             OrderOutcome::Refused => {
-                self.trust_from = now;
+                self.valid_from = now;
                 self.status = ReplicaStatus::Unread;
             }
             OrderOutcome::Unknown => self.status = ReplicaStatus::InDoubt,
         }
     }
 
-    /// Takes a reading whose request was sent at `asked_at`.
-    pub fn read(&mut self, asked_at: Moment, reading: &ReplicaReading) {
-        if self.incarnation.is_some_and(|known| reading.incarnation < known) {
+    /// Applies a reading that was requested at `requested_at`.
+    pub fn read(&mut self, requested_at: Moment, reading: &ReplicaReading) {
+        if self.incarnation.is_some_and(|last| reading.incarnation < last) {
             return;
         }
-        let new_life = self.incarnation.is_some_and(|known| reading.incarnation > known);
+        let restarted = self.incarnation.is_some_and(|last| reading.incarnation > last);
         if reading.leaving {
             self.incarnation = Some(reading.incarnation);
             self.status = ReplicaStatus::Leaving;
             return;
         }
-        // A new life has forgotten the orders of the one before.
-        let settled = !reading.loading && self.ordered.is_some() && reading.version == self.ordered;
-        if asked_at < self.trust_from && !new_life && !settled {
+        // A new incarnation has no pending order.
+        let holds_ordered =
+            !reading.loading && self.ordered.is_some() && reading.version == self.ordered;
+        if requested_at < self.valid_from && !restarted && !holds_ordered {
             return;
         }
-        if self.status == ReplicaStatus::Leaving && !new_life {
+        if self.status == ReplicaStatus::Leaving && !restarted {
             return;
         }
         self.incarnation = Some(reading.incarnation);
@@ -176,7 +178,7 @@
         };
     }
 
-    /// Notes that the engine does not answer; an order under way stays in doubt.
+    /// Records that the engine does not respond. A pending order leaves it in doubt.
     pub fn unreachable(&mut self) {
         self.status = match self.status {
             ReplicaStatus::Leaving => ReplicaStatus::Leaving,
@@ -185,16 +187,16 @@
         };
     }
 
-    /// Notes that the platform or a peer says the engine is leaving.
+    /// Records that the platform or a peer reports the engine as leaving.
     pub const fn mark_leaving(&mut self) {
         self.status = ReplicaStatus::Leaving;
     }
 
-    /// Notes a stamp that contradicts the version believed in.
+    /// Records a response stamped with a version other than the expected one.
     pub fn contradicted(&mut self, now: Moment) {
         if matches!(self.status, ReplicaStatus::Serving(_)) {
             self.status = ReplicaStatus::InDoubt;
-            self.trust_from = now;
+            self.valid_from = now;
         }
     }
 }
--- a/crates/placement/tests/admission.rs
+++ b/crates/placement/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission at a target's home: doubt, leaving, limits, fairness.
+//! Tests of admission at a target's home: doubt, leaving, limits and fairness.
 
 use std::time::Duration;
 
@@ -17,9 +17,9 @@
     ModelVersion::new(number)
 }
 
-fn reading(life: u64, held: u64) -> ReplicaReading {
+fn reading(incarnation: u64, held: u64) -> ReplicaReading {
     ReplicaReading {
-        incarnation: Incarnation::new(life),
+        incarnation: Incarnation::new(incarnation),
         version: Some(version(held)),
         loading: false,
         token: FencingToken::default(),
@@ -27,8 +27,8 @@
     }
 }
 
-fn ask(trainer: &str, named: u64) -> AdmissionRequest {
-    let trainer: TrainerId = trainer.parse().expect("an id");
+fn request(trainer: &str, named: u64) -> AdmissionRequest {
+    let trainer: TrainerId = trainer.parse().expect("a valid ID");
     let window = Some(VersionWindow::new(version(named), 1));
     AdmissionRequest { trainer: Some(trainer), window, deadline: at(60_000) }
 }
@@ -39,7 +39,7 @@
     queue
 }
 
-fn go(admission: Admission) -> TicketId {
+fn admitted(admission: Admission) -> TicketId {
     match admission {
         Admission::Admitted(ticket) => ticket,
         other => panic!("not admitted: {other:?}"),
@@ -54,9 +54,9 @@
 }
 
 #[test]
-fn an_unread_engine_gets_no_work() {
+fn unread_engine_queues_work() {
     let mut queue = TargetQueue::new(TargetKind::Engine, 4);
-    let Admission::Queued(ticket) = queue.request_admission(at(0), ask("a", 1)) else {
+    let Admission::Queued(ticket) = queue.request_admission(at(0), request("a", 1)) else {
         panic!("not queued")
     };
     assert!(queue.poll(at(1)).is_empty());
@@ -65,20 +65,20 @@
 }
 
 #[test]
-fn a_replica_in_doubt_gets_no_work_until_a_late_enough_reading() {
+fn replica_in_doubt_refuses_work_until_reading_after_deadline() {
     let mut queue = engine(4);
     queue.order_sent(version(2), at(10_000));
     queue.order_completed(at(100), version(2), OrderOutcome::Unknown);
-    assert_eq!(reason(queue.request_admission(at(101), ask("a", 1))), Some(NotRun::InDoubt));
-    // The order might still take effect, so the old version proves nothing yet.
+    assert_eq!(reason(queue.request_admission(at(101), request("a", 1))), Some(NotRun::InDoubt));
+    // The order may still take effect before its deadline.
     queue.read(at(200), &reading(1, 1));
-    assert_eq!(reason(queue.request_admission(at(201), ask("a", 1))), Some(NotRun::InDoubt));
+    assert_eq!(reason(queue.request_admission(at(201), request("a", 1))), Some(NotRun::InDoubt));
     queue.read(at(10_000), &reading(1, 1));
-    go(queue.request_admission(at(10_001), ask("a", 1)));
+    admitted(queue.request_admission(at(10_001), request("a", 1)));
 }
 
 #[test]
-fn doubt_ends_at_once_when_the_ordered_version_is_read() {
+fn reading_of_ordered_version_resolves_doubt() {
     let mut queue = engine(4);
     queue.order_sent(version(2), at(10_000));
     queue.order_completed(at(100), version(2), OrderOutcome::Unknown);
@@ -87,54 +87,54 @@
 }
 
 #[test]
-fn a_swap_that_failed_partway_and_still_loads_stays_in_doubt() {
+fn replica_that_still_loads_stays_in_doubt() {
     let mut queue = engine(4);
     queue.order_sent(version(2), at(1_000));
     queue.order_completed(at(100), version(2), OrderOutcome::Unknown);
     queue.read(at(2_000), &ReplicaReading { loading: true, ..reading(1, 1) });
-    assert_eq!(reason(queue.request_admission(at(2_001), ask("a", 1))), Some(NotRun::InDoubt));
+    assert_eq!(reason(queue.request_admission(at(2_001), request("a", 1))), Some(NotRun::InDoubt));
 }
 
 #[test]
-fn a_stamp_that_contradicts_puts_the_replica_in_doubt() {
+fn contradicting_stamp_puts_replica_in_doubt() {
     let mut queue = engine(4);
     queue.contradicted(at(50));
-    assert_eq!(reason(queue.request_admission(at(51), ask("a", 1))), Some(NotRun::InDoubt));
-    // A reading that began before the contradiction proves nothing.
+    assert_eq!(reason(queue.request_admission(at(51), request("a", 1))), Some(NotRun::InDoubt));
+    // Ignored: requested before the contradiction.
     queue.read(at(49), &reading(1, 1));
     assert_eq!(queue.replica().status(), ReplicaStatus::InDoubt);
     queue.read(at(60), &reading(1, 1));
-    go(queue.request_admission(at(61), ask("a", 1)));
+    admitted(queue.request_admission(at(61), request("a", 1)));
 }
 
 #[test]
-fn an_engine_back_with_another_version_is_judged_by_it() {
+fn restarted_engine_serves_its_new_version() {
     let mut queue = engine(4);
     queue.read(at(10), &reading(2, 7));
     assert_eq!(
-        reason(queue.request_admission(at(11), ask("a", 1))),
+        reason(queue.request_admission(at(11), request("a", 1))),
         Some(NotRun::NotNamed { held: version(7) })
     );
-    // A late reading of its earlier life changes nothing.
+    // Ignored: a late reading of an earlier incarnation.
     queue.read(at(9), &reading(1, 1));
     assert_eq!(queue.replica().status(), ReplicaStatus::Serving(version(7)));
 }
 
 #[test]
-fn an_engine_past_the_staleness_bound_gets_no_work() {
+fn engine_past_staleness_bound_refuses_work() {
     let mut queue = engine(4);
     assert_eq!(
-        reason(queue.request_admission(at(1), ask("a", 3))),
+        reason(queue.request_admission(at(1), request("a", 3))),
         Some(NotRun::TooOld { held: version(1) })
     );
-    go(queue.request_admission(at(1), ask("a", 2)));
+    admitted(queue.request_admission(at(1), request("a", 2)));
 }
 
 #[test]
-fn waiting_work_is_refused_when_the_target_turns_out_unfit() {
+fn waiting_work_is_refused_when_target_leaves() {
     let mut queue = engine(1);
-    go(queue.request_admission(at(0), ask("a", 1)));
-    let Admission::Queued(ticket) = queue.request_admission(at(0), ask("b", 1)) else {
+    admitted(queue.request_admission(at(0), request("a", 1)));
+    let Admission::Queued(ticket) = queue.request_admission(at(0), request("b", 1)) else {
         panic!("not queued")
     };
     queue.mark_leaving();
@@ -146,23 +146,23 @@
 }
 
 #[test]
-fn a_leaving_engine_gets_no_work_until_a_new_life() {
+fn leaving_engine_refuses_work_until_restart() {
     let mut queue = engine(4);
     queue.read(at(1), &ReplicaReading { leaving: true, ..reading(1, 1) });
-    // A list that lags says that it stays, and an older reading comes late.
+    // Ignored: an outdated platform list, and a late reading of the same incarnation.
     queue.clear_leaving();
     queue.read(at(2), &reading(1, 1));
-    assert_eq!(reason(queue.request_admission(at(3), ask("a", 1))), Some(NotRun::Leaving));
+    assert_eq!(reason(queue.request_admission(at(3), request("a", 1))), Some(NotRun::Leaving));
     queue.read(at(4), &reading(2, 1));
-    go(queue.request_admission(at(5), ask("a", 1)));
+    admitted(queue.request_admission(at(5), request("a", 1)));
 }
 
 #[test]
-fn the_limit_is_exact() {
+fn running_requests_never_exceed_limit() {
     let mut queue = engine(2);
-    let first = go(queue.request_admission(at(0), ask("a", 1)));
-    go(queue.request_admission(at(0), ask("a", 1)));
-    let Admission::Queued(third) = queue.request_admission(at(0), ask("a", 1)) else {
+    let first = admitted(queue.request_admission(at(0), request("a", 1)));
+    admitted(queue.request_admission(at(0), request("a", 1)));
+    let Admission::Queued(third) = queue.request_admission(at(0), request("a", 1)) else {
         panic!("not queued")
     };
     assert!(queue.poll(at(1)).is_empty());
@@ -172,11 +172,11 @@
 }
 
 #[test]
-fn a_full_queue_refuses_at_once_and_says_when_to_come_back() {
+fn full_queue_refuses_with_retry_delay() {
     let mut queue = engine(1);
-    go(queue.request_admission(at(0), ask("a", 1)));
+    admitted(queue.request_admission(at(0), request("a", 1)));
     let admissions: Vec<Admission> =
-        (0..3).map(|_| queue.request_admission(at(0), ask("a", 1))).collect();
+        (0..3).map(|_| queue.request_admission(at(0), request("a", 1))).collect();
     let Some(Admission::Refused(Refusal::NotRun { reason, retry_after })) = admissions.last()
     else {
         panic!("not refused: {admissions:?}");
@@ -186,10 +186,10 @@
 }
 
 #[test]
-fn work_past_its_deadline_is_refused_as_not_run() {
+fn expired_work_is_refused_as_not_run() {
     let mut queue = engine(1);
-    go(queue.request_admission(at(0), ask("a", 1)));
-    let late = AdmissionRequest { deadline: at(5), ..ask("a", 1) };
+    admitted(queue.request_admission(at(0), request("a", 1)));
+    let late = AdmissionRequest { deadline: at(5), ..request("a", 1) };
     let Admission::Queued(ticket) = queue.request_admission(at(0), late.clone()) else {
         panic!("not queued")
     };
@@ -199,22 +199,23 @@
 }
 
 #[test]
-fn no_trainer_starves_behind_another_with_longer_work() {
+fn trainers_get_equal_token_shares() {
     let mut queue = engine(1);
     let mut served = [0_u32; 2];
-    let mut running = go(queue.request_admission(at(0), ask("long", 1)));
-    let mut holder = 0;
+    let mut running = admitted(queue.request_admission(at(0), request("long", 1)));
+    let mut running_trainer = 0;
     for round in 1..200 {
         for trainer in ["long", "short"] {
-            let _refused_when_full = queue.request_admission(at(round), ask(trainer, 1));
+            let _refused_when_full = queue.request_admission(at(round), request(trainer, 1));
         }
-        let tokens = if holder == 0 { 400 } else { 40 };
-        served[holder] += tokens;
+        let tokens = if running_trainer == 0 { 400 } else { 40 };
+        served[running_trainer] += tokens;
         queue.ended(running, TokenCount::new(tokens));
         let events = queue.poll(at(round));
         let Some(QueueEvent::Go(ticket)) = events.first().copied() else { panic!("{events:?}") };
-        // The trainer charged next tells whose turn it was.
-        holder = usize::from(queue.trainer_of(ticket).is_some_and(|t| t.as_str() == "short"));
+        // The trainer of the started request is charged next.
+        running_trainer =
+            usize::from(queue.trainer_of(ticket).is_some_and(|t| t.as_str() == "short"));
         running = ticket;
     }
     let ratio = f64::from(served[0]) / f64::from(served[1]);
--- a/crates/xtask/src/mutate.rs
+++ b/crates/xtask/src/mutate.rs
@@ -52,7 +52,7 @@
     Mutation {
         name: "1: a reading from before the order's end clears the doubt",
         file: "crates/placement/src/replica.rs",
-        from: "if asked_at < self.trust_from && !new_life && !settled {",
+        from: "if requested_at < self.valid_from && !restarted && !holds_ordered {",
         to: "if false {",
         package: "placement",
         test: "in_doubt",
