--- a/crates/shards/src/reports.rs
+++ b/crates/shards/src/reports.rs
@@ -103,7 +103,7 @@
         }
         if token != self.token {
             // Others may have reported meanwhile.
-            self.plan.begin_anew();
+            self.plan.reset();
             self.token = token;
         }
         let all_heard = all_heard(&duty.ctx);
@@ -161,7 +161,7 @@
         let outcome = match written {
             Ok(revision) => StoreOutcome::Holds(ObjectVersion::new(revision), report),
             Err(StoreError::NotApplied(_)) => StoreOutcome::NotApplied,
-            Err(_) => StoreOutcome::Unsure,
+            Err(_) => StoreOutcome::Uncertain,
         };
         let done = matches!(outcome, StoreOutcome::Holds(..));
         self.plan.commit_done(outcome);
@@ -173,7 +173,7 @@
         let sent = duty.client.report_usage(&hand, report.window.get(), &report.counts).await;
         duty.note_call(sent);
         let (outcome, word) = match sent {
-            Ok(()) => (SendOutcome::Taken, "taken"),
+            Ok(()) => (SendOutcome::Accepted, "taken"),
             Err(AccountingError::Refused(_) | AccountingError::NoCapacity) => {
                 (SendOutcome::Refused, "refused")
             }
@@ -183,7 +183,7 @@
         };
         let metrics = &duty.ctx.view.metrics;
         metrics.count_outcome("usage_report", word);
-        if outcome == SendOutcome::Taken {
+        if outcome == SendOutcome::Accepted {
             metrics.window_reported(report.window.get());
         }
         log::info!(
--- a/crates/usage/src/clock.rs
+++ b/crates/usage/src/clock.rs
@@ -1,106 +1,110 @@
-//! True time, from the clocks of several boxes.
+//! Cluster time, derived from the clocks of several boxes.
 //!
-//! A box's time of day is near true time, but it may step by seconds, forward or back, and back again after a
-//! while; its steady clock does not. So true time is counted by the steady clock from an offset that the boxes agree
-//! on: each tells the others its own time of day, and the offset is the median of what they say. As long as fewer than
-//! half of them are wrong, the median lies between right ones. An offset once taken is given up for one that differs by
-//! more than a step only if that one lasts; smaller differences, such as drift, are followed at once.
+//! A box's wall clock is usually accurate, but may step by seconds and step back later. Its
+//! monotonic clock does not. Cluster time is therefore the monotonic clock plus an offset, which is
+//! the median of the offsets that the boxes report. It is accurate as long as fewer than half of
+//! the clocks are wrong. Small differences, such as drift, are applied at once. A larger step is
+//! applied only after it has lasted for `STEP_WINDOW`.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use ids::{BoxId, Moment};
 
-/// Milliseconds since the beginning of 1970, in true time.
+/// Milliseconds since the Unix epoch, in cluster time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct UnixTime(u64);
 
 impl UnixTime {
-    /// Wraps milliseconds.
+    /// Wraps milliseconds since the Unix epoch.
     pub const fn new(millis: u64) -> Self {
         Self(millis)
     }
 
-    /// The milliseconds.
+    /// Milliseconds since the Unix epoch.
     pub const fn millis(self) -> u64 {
         self.0
     }
 }
 
-/// A change of the offset beyond this is a step. Clocks that are kept in time lie within some tens of milliseconds of
-/// each other, and a step that matters is seconds long.
+/// Larger changes of the offset count as a step. Synchronized clocks differ by tens of
+/// milliseconds.
 const STEP_MILLIS: i64 = 250;
-/// A step counts once it has lasted so long. Clocks that step by mistake are put right within some seconds; one that
-/// stays has been put right itself.
-const STEP_TIME: Duration = Duration::from_secs(90);
-/// What a box has said of its time of day counts for so long.
-const HEARD_TIME: Duration = Duration::from_secs(3);
-/// Boxes that must have been heard, this one included, before an offset is held against a step.
-const LEAST_VOICES: usize = 3;
+/// How long a step must last before it is applied. Wrong clocks are usually corrected within
+/// seconds, so a step that lasts is itself a correction.
+const STEP_WINDOW: Duration = Duration::from_secs(90);
+/// How long a reading of a box is used.
+const READING_TTL: Duration = Duration::from_secs(3);
+/// Number of readings, including this box's own, that make a quorum.
+const QUORUM: usize = 3;
 
 #[derive(Debug, Clone, Copy)]
-struct Voice {
+struct ClockReading {
     offset: i64,
-    heard_at: Moment,
+    received_at: Moment,
 }
 
-/// True time as one box knows it.
+/// Cluster time, as estimated by one box.
 #[derive(Debug, Clone, Default)]
 pub struct ClusterClock {
-    /// What is added to the steady clock, in milliseconds.
+    /// Offset from the monotonic clock, in milliseconds.
     offset: Option<i64>,
-    /// Whether enough boxes have agreed on it for it to be held.
+    /// Whether a quorum has agreed on the offset, which then resists steps.
     anchored: bool,
-    /// Another offset that others agree on, and since when.
-    doubt: Option<(i64, Moment)>,
-    voices: HashMap<BoxId, Voice>,
+    /// A different offset that the readings agree on, and since when.
+    pending_step: Option<(i64, Moment)>,
+    readings: HashMap<BoxId, ClockReading>,
 }
 
 impl ClusterClock {
-    /// Takes what a box, this one or another, reads as its time of day now.
+    /// Records the wall clock of a box, this one or another.
     pub fn observe(&mut self, now: Moment, from: &BoxId, time: UnixTime) {
-        let voice = Voice { offset: offset_of(now, time), heard_at: now };
-        self.voices.insert(from.clone(), voice);
-        self.voices.retain(|_, voice| now.since(voice.heard_at) < HEARD_TIME);
-        self.settle(now);
+        let reading = ClockReading { offset: offset_of(now, time), received_at: now };
+        self.readings.insert(from.clone(), reading);
+        self.readings.retain(|_, reading| now.since(reading.received_at) < READING_TTL);
+        self.update_offset(now);
     }
 
-    /// Takes true time from a box that has agreed on it with others.
+    /// Adopts the cluster time of a box that has a quorum.
     pub fn follow(&mut self, now: Moment, time: UnixTime) {
         self.anchored = true;
-        self.doubt = None;
+        self.pending_step = None;
         self.offset = Some(offset_of(now, time));
     }
 
-    /// True time now; `None` before anything was heard.
+    /// Returns the current cluster time; `None` before the first reading.
     pub fn now(&self, now: Moment) -> Option<UnixTime> {
         let millis = steady_millis(now).saturating_add(self.offset?);
         u64::try_from(millis).ok().map(UnixTime)
     }
 
-    /// Whether several boxes have agreed on it.
+    /// Whether a quorum has agreed on the offset.
     pub const fn is_anchored(&self) -> bool {
         self.anchored
     }
 
-    fn settle(&mut self, now: Moment) {
-        let Some(heard) = median(self.voices.values().map(|voice| voice.offset).collect()) else {
+    fn update_offset(&mut self, now: Moment) {
+        let Some(median_offset) =
+            median(self.readings.values().map(|reading| reading.offset).collect())
+        else {
             return;
         };
-        let enough = self.voices.len() >= LEAST_VOICES;
-        let near = self.offset.is_some_and(|offset| (offset - heard).abs() <= STEP_MILLIS);
-        if !self.anchored || near {
-            self.offset = Some(heard);
-            self.anchored |= enough;
-            self.doubt = None;
+        let has_quorum = self.readings.len() >= QUORUM;
+        let is_near =
+            self.offset.is_some_and(|offset| (offset - median_offset).abs() <= STEP_MILLIS);
+        if !self.anchored || is_near {
+            self.offset = Some(median_offset);
+            self.anchored |= has_quorum;
+            self.pending_step = None;
             return;
         }
-        let doubted = self.doubt.filter(|(offset, _)| (offset - heard).abs() <= STEP_MILLIS);
-        let (_, since) = doubted.unwrap_or((heard, now));
-        self.doubt = Some((heard, since));
-        if enough && now.since(since) >= STEP_TIME {
-            self.offset = Some(heard);
-            self.doubt = None;
+        let pending =
+            self.pending_step.filter(|(offset, _)| (offset - median_offset).abs() <= STEP_MILLIS);
+        let (_, since) = pending.unwrap_or((median_offset, now));
+        self.pending_step = Some((median_offset, since));
+        if has_quorum && now.since(since) >= STEP_WINDOW {
+            self.offset = Some(median_offset);
+            self.pending_step = None;
         }
     }
 }
@@ -113,7 +117,7 @@
     i64::try_from(time.millis()).unwrap_or(i64::MAX).saturating_sub(steady_millis(now))
 }
 
-/// The middle one; of an even number the mean of the two in the middle.
+/// Returns the median; for an even count, the mean of the two middle values.
 fn median(mut offsets: Vec<i64>) -> Option<i64> {
     offsets.sort_unstable();
     let middle = offsets.len() / 2;
--- a/crates/usage/src/lib.rs
+++ b/crates/usage/src/lib.rs
@@ -1,12 +1,12 @@
-//! Reports of use: how many requests of each customer targets began in each window of true time.
+//! Usage reports: the number of requests that started at targets, per customer and time window.
 //!
-//! The box that sends a request to a target counts it, in a [`UsageTable`] under its own name and life. Counts
-//! travel as absolute numbers, so that a repeat adds nothing, and the box that reports merges those of all others.
-//! [`ClusterClock`] says in which window a request began, although the time of day of some boxes steps.
-//! [`ReportPlan`] says what the reporting box does next. It fixes the counts of a window in the store before they
-//! are sent: whoever sends that window again sends the very same.
+//! The box that sends a request to a target counts it in a [`UsageTable`], under its own ID and
+//! incarnation. Boxes exchange absolute counts, so duplicates are harmless, and the reporting box
+//! merges them. [`ClusterClock`] determines the window of a request even if wall clocks step.
+//! [`ReportPlan`] decides the next action of the reporting box. It commits the counts of a window
+//! to the store before they are sent, so that a repeated report has the same counts.
 //!
-//! Nothing here does I/O or reads a clock.
+//! This crate does no I/O and reads no clock.
 
 mod clock;
 mod plan;
--- a/crates/usage/src/plan.rs
+++ b/crates/usage/src/plan.rs
@@ -1,9 +1,9 @@
-//! What the reporting box does next.
+//! Decides the next action of the reporting box.
 //!
-//! A report is fixed before it is sent: its counts are written to one object of the store, in place of the last report
-//! that was read there, and only what stands there is ever sent. So a box that takes the duty over sends the last fixed
-//! window again, with the same counts, and goes on after it; a repeat changes nothing at the receiver, while other
-//! counts for the same window would contradict what it was told before.
+//! A report is committed before it is sent: its counts replace the last report in one object of the
+//! store, and only the stored report is sent. A box that takes over sends the last committed window
+//! again, with the same counts, and continues after it. The receiver ignores repeats, but different
+//! counts for the same window would contradict the earlier report.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,174 +13,174 @@
 
 use crate::{UnixTime, UsageWindow, WindowLength};
 
-/// A report as it stands in the store.
+/// A report as stored.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageReport {
-    /// The window.
+    /// The reported window.
     pub window: UsageWindow,
-    /// Requests that targets began in it, by customer.
+    /// Number of requests that started at targets in the window, by customer.
     pub counts: BTreeMap<CustomerName, u64>,
 }
 
-/// When windows are reported.
+/// Timing of reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportTimes {
-    /// How long a window is.
+    /// Length of a window.
     pub length: WindowLength,
-    /// How long after its end a window's counts are awaited when all boxes are heard.
+    /// Delay after the end of a window if all boxes are reachable.
     pub settle: Duration,
-    /// How long when some are not.
-    pub patience: Duration,
-    /// Windows that a box which takes over catches up at the most.
-    pub most_behind: u64,
+    /// Delay after the end of a window if some boxes are unreachable.
+    pub timeout: Duration,
+    /// Maximum number of past windows to report after a takeover.
+    pub max_behind: u64,
 }
 
 impl ReportTimes {
-    /// Times for reports that are due `late` after their window's end. Counts take half a second to the reporter
-    /// where nothing is wrong. A report that is fixed halfway to its time still leaves the other half for a change
-    /// of the reporting box.
+    /// Derives the times for reports due `late` after the end of their window. Half of that time
+    /// remains for a change of the reporting box.
     pub fn new(length: WindowLength, late: Duration) -> Self {
         Self {
             length,
             settle: (late / 5).min(Duration::from_secs(2)),
-            patience: late / 2,
-            most_behind: MOST_BEHIND,
+            timeout: late / 2,
+            max_behind: MAX_BEHIND,
         }
     }
 }
 
-/// Counts are held for as many windows; older ones are lost, and a report of nothing would be a wrong one.
-const MOST_BEHIND: u64 = 24;
+/// Number of windows whose counts are kept. Older ones are skipped, since their counts are lost.
+const MAX_BEHIND: u64 = 24;
 
-/// What is to be done.
+/// Next action of the reporting box.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReportAction {
     /// Read the object of the last report, then call [`ReportPlan::read_done`].
     Read,
-    /// Write this report in its place, with the counts of its window, then call [`ReportPlan::commit_done`].
+    /// Write the counts of this window to the object, then call [`ReportPlan::commit_done`].
     Commit {
-        /// The window whose counts are due.
+        /// The window to report.
         window: UsageWindow,
-        /// The version that the write is conditional on; zero means that the object must be absent.
+        /// Expected version of the object; zero if it must not exist.
         expect: ObjectVersion,
     },
     /// Send this report, then call [`ReportPlan::send_done`].
     Send(UsageReport),
 }
 
-/// How a call about the object ended.
+/// Outcome of a read or write of the object.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreOutcome {
-    /// It holds this report, under this version.
+    /// The object holds this report, at this version.
     Holds(ObjectVersion, UsageReport),
-    /// There is no such object.
+    /// The object does not exist.
     Absent,
-    /// It is another than the write was conditional on, or nobody knows.
-    Unsure,
-    /// Nothing was done.
+    /// The write may have been applied, or the object's version did not match.
+    Uncertain,
+    /// The call definitely had no effect.
     NotApplied,
 }
 
-/// How the sending of a report ended.
+/// Outcome of sending a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendOutcome {
-    /// It was taken.
-    Taken,
-    /// It will never be taken.
+    /// The receiver accepted it.
+    Accepted,
+    /// The receiver refused it permanently.
     Refused,
-    /// It was not taken, or nobody knows.
+    /// It was not accepted, or the outcome is unknown.
     Failed,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Known {
+enum LastReport {
     /// The object must be read first.
-    Nothing,
-    /// There is no report yet.
+    Unread,
+    /// The object does not exist.
     Absent,
-    /// The last report, and whether it was taken.
-    Report { version: ObjectVersion, report: UsageReport, taken: bool },
+    /// The last report, and whether the receiver accepted or refused it.
+    Report { version: ObjectVersion, report: UsageReport, delivered: bool },
 }
 
-/// The reports of one holder of the duty.
+/// Report state of one leaseholder.
 #[derive(Debug, Clone)]
 pub struct ReportPlan {
     times: ReportTimes,
-    known: Known,
-    /// The first window that this box may report: counts before its start are not all known.
+    last: LastReport,
+    /// The first window that this box may report. Counts of earlier windows are incomplete.
     first: UsageWindow,
 }
 
 impl ReportPlan {
-    /// A plan that knows nothing; the deployment's first report is that of `first`.
+    /// Creates a plan that starts by reading the store. `first` is used if no report exists yet.
     pub const fn new(times: ReportTimes, first: UsageWindow) -> Self {
-        Self { times, known: Known::Nothing, first }
+        Self { times, last: LastReport::Unread, first }
     }
 
-    /// Forgets what was read: another box may have reported meanwhile.
-    pub fn begin_anew(&mut self) {
-        self.known = Known::Nothing;
+    /// Discards what was read: another box may have reported since.
+    pub fn reset(&mut self) {
+        self.last = LastReport::Unread;
     }
 
-    /// The next action, if one is due. `all_heard` tells whether every box that may hold counts was heard just now.
+    /// Returns the next action, if one is due. `all_heard` is whether every box that may hold
+    /// counts has been reachable recently.
     pub fn poll(&self, now: UnixTime, all_heard: bool) -> Option<ReportAction> {
-        let (window, expect) = match &self.known {
-            Known::Nothing => return Some(ReportAction::Read),
-            Known::Report { report, taken: false, .. } => {
+        let (window, expect) = match &self.last {
+            LastReport::Unread => return Some(ReportAction::Read),
+            LastReport::Report { report, delivered: false, .. } => {
                 return Some(ReportAction::Send(report.clone()));
             }
-            Known::Absent => (self.first.max(self.oldest_held(now)), ObjectVersion::default()),
-            Known::Report { version, report, .. } => {
-                (report.window.next().max(self.oldest_held(now)), *version)
+            LastReport::Absent => (self.first.max(self.oldest_kept(now)), ObjectVersion::default()),
+            LastReport::Report { version, report, .. } => {
+                (report.window.next().max(self.oldest_kept(now)), *version)
             }
         };
-        let wait = if all_heard { self.times.settle } else { self.times.patience };
+        let wait = if all_heard { self.times.settle } else { self.times.timeout };
         let due = self.times.length.end_of(window).millis() + whole_millis(wait);
         (now.millis() >= due).then_some(ReportAction::Commit { window, expect })
     }
 
-    /// The oldest window whose counts are not forgotten.
-    const fn oldest_held(&self, now: UnixTime) -> UsageWindow {
-        self.times.length.window_of(now).back(self.times.most_behind)
+    /// The oldest window whose counts are kept.
+    const fn oldest_kept(&self, now: UnixTime) -> UsageWindow {
+        self.times.length.window_of(now).back(self.times.max_behind)
     }
 
-    /// Takes what was read.
+    /// Applies the outcome of a read.
     pub fn read_done(&mut self, outcome: StoreOutcome) {
         match outcome {
             StoreOutcome::Holds(version, report) => {
-                // Whether an earlier holder was answered is not known here.
-                self.known = Known::Report { version, report, taken: false };
+                // It is unknown whether the previous leaseholder sent it.
+                self.last = LastReport::Report { version, report, delivered: false };
             }
-            StoreOutcome::Absent => self.known = Known::Absent,
-            StoreOutcome::Unsure | StoreOutcome::NotApplied => {}
+            StoreOutcome::Absent => self.last = LastReport::Absent,
+            StoreOutcome::Uncertain | StoreOutcome::NotApplied => {}
         }
     }
 
-    /// Takes how the write of a report ended.
+    /// Applies the outcome of a write.
     pub fn commit_done(&mut self, outcome: StoreOutcome) {
         match outcome {
             StoreOutcome::Holds(version, report) => {
-                self.known = Known::Report { version, report, taken: false };
+                self.last = LastReport::Report { version, report, delivered: false };
             }
-            // Written by another box, or by this one without its knowing: what stands there counts.
-            StoreOutcome::Absent | StoreOutcome::Unsure => self.known = Known::Nothing,
+            // Reads back the stored report: this write or another box's may have been applied.
+            StoreOutcome::Absent | StoreOutcome::Uncertain => self.last = LastReport::Unread,
             StoreOutcome::NotApplied => {}
         }
     }
 
-    /// Takes how the sending of a report ended.
+    /// Applies the outcome of sending a report.
     pub fn send_done(&mut self, window: UsageWindow, outcome: SendOutcome) {
-        if let Known::Report { report, taken, .. } = &mut self.known
+        if let LastReport::Report { report, delivered, .. } = &mut self.last
             && report.window == window
         {
-            *taken = outcome != SendOutcome::Failed;
+            *delivered = outcome != SendOutcome::Failed;
         }
     }
 
-    /// The last window that was taken, as far as this box knows.
-    pub const fn last_taken(&self) -> Option<UsageWindow> {
-        match &self.known {
-            Known::Report { report, taken: true, .. } => Some(report.window),
+    /// The last window that the receiver accepted or refused; `None` if not known.
+    pub const fn last_delivered(&self) -> Option<UsageWindow> {
+        match &self.last {
+            LastReport::Report { report, delivered: true, .. } => Some(report.window),
             _ => None,
         }
     }
--- a/crates/usage/src/table.rs
+++ b/crates/usage/src/table.rs
@@ -1,4 +1,4 @@
-//! Counts of use, by window, source and customer.
+//! Usage counts, by window, source and customer.
 
 use std::collections::BTreeMap;
 
@@ -6,30 +6,30 @@
 
 use crate::UsageWindow;
 
-/// Who counted: a box in one life of its process. A restarted box begins at nought under another life, so that what
-/// its earlier life had told still counts beside it.
+/// The incarnation of a box that counted requests. A restarted box starts at zero as a new source,
+/// so the counts of its earlier incarnation remain valid.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CountSource {
     /// The box.
     pub box_id: BoxId,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
 }
 
-/// How many requests of a customer one source saw begin in a window, in all so far.
+/// Total number of requests of a customer that one source has counted in a window.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UsageCount {
-    /// Who counted.
+    /// The box that counted.
     pub source: CountSource,
-    /// The window.
+    /// The window in which the requests started.
     pub window: UsageWindow,
-    /// The customer.
+    /// The customer that sent them.
     pub customer: CustomerName,
-    /// The requests.
+    /// Total number so far.
     pub requests: u64,
 }
 
-/// How far a table's changes have been told; begins at nought.
+/// Version of a table; rises with each change, starting at zero.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TableVersion(u64);
 
@@ -39,13 +39,13 @@
     changed: TableVersion,
 }
 
-/// Counts that a box holds: its own, and those that others told it.
+/// Counts of this box and of others.
 #[derive(Debug, Clone, Default)]
 pub struct UsageTable {
     cells: BTreeMap<(UsageWindow, CountSource, CustomerName), Cell>,
     version: TableVersion,
-    /// Windows before this one are forgotten, and late words of them are not taken.
-    floor: UsageWindow,
+    /// Oldest window that is kept. Counts of earlier ones are ignored.
+    oldest_window: UsageWindow,
 }
 
 impl Default for UsageWindow {
@@ -55,31 +55,31 @@
 }
 
 impl UsageTable {
-    /// Counts a request that began in `window`.
+    /// Counts a request that started in `window`.
     pub fn count(&mut self, source: &CountSource, window: UsageWindow, customer: &CustomerName) {
-        if window < self.floor {
+        if window < self.oldest_window {
             return;
         }
-        let changed = self.change();
+        let changed = self.next_version();
         let key = (window, source.clone(), customer.clone());
         let cell = self.cells.entry(key).or_insert(Cell { requests: 0, changed });
         *cell = Cell { requests: cell.requests + 1, changed };
     }
 
-    /// Takes what another box tells. Counts only rise, so an older word changes nothing.
-    pub fn merge(&mut self, told: UsageCount) {
-        if told.window < self.floor {
+    /// Merges a count of another box. Counts only rise, so a lower one is ignored.
+    pub fn merge(&mut self, received: UsageCount) {
+        if received.window < self.oldest_window {
             return;
         }
-        let key = (told.window, told.source, told.customer);
-        if self.cells.get(&key).is_some_and(|cell| cell.requests >= told.requests) {
+        let key = (received.window, received.source, received.customer);
+        if self.cells.get(&key).is_some_and(|cell| cell.requests >= received.requests) {
             return;
         }
-        let changed = self.change();
-        self.cells.insert(key, Cell { requests: told.requests, changed });
+        let changed = self.next_version();
+        self.cells.insert(key, Cell { requests: received.requests, changed });
     }
 
-    /// What has changed since a version.
+    /// Returns the counts that changed after `version`.
     pub fn since(&self, version: TableVersion) -> Vec<UsageCount> {
         let changed = self.cells.iter().filter(|(_, cell)| cell.changed > version);
         let counts = changed.map(|((window, source, customer), cell)| UsageCount {
@@ -91,36 +91,36 @@
         counts.collect()
     }
 
-    /// The version that has all changes so far.
+    /// Current version of the table.
     pub const fn version(&self) -> TableVersion {
         self.version
     }
 
-    /// All sources' counts of a window, by customer.
+    /// Returns the totals of a window over all sources, by customer.
     pub fn totals(&self, window: UsageWindow) -> BTreeMap<CustomerName, u64> {
         let mut totals = BTreeMap::new();
-        let cells = self.cells.iter().filter(|((of, ..), _)| *of == window);
+        let cells = self.cells.iter().filter(|((cell_window, ..), _)| *cell_window == window);
         for ((_, _, customer), cell) in cells {
             *totals.entry(customer.clone()).or_default() += cell.requests;
         }
         totals
     }
 
-    /// Forgets the windows before `window`.
+    /// Removes all windows before `window`.
     pub fn forget_before(&mut self, window: UsageWindow) {
-        if window <= self.floor {
+        if window <= self.oldest_window {
             return;
         }
-        self.floor = window;
-        self.cells.retain(|(of, ..), _| *of >= window);
+        self.oldest_window = window;
+        self.cells.retain(|(cell_window, ..), _| *cell_window >= window);
     }
 
-    /// Whether nothing is held.
+    /// Whether the table has no counts.
     pub fn is_empty(&self) -> bool {
         self.cells.is_empty()
     }
 
-    fn change(&mut self) -> TableVersion {
+    fn next_version(&mut self) -> TableVersion {
         self.version = TableVersion(self.version.0 + 1);
         self.version
     }
--- a/crates/usage/tests/clock.rs
+++ b/crates/usage/tests/clock.rs
@@ -1,11 +1,11 @@
-//! True time among boxes whose time of day steps.
+//! Tests of cluster time when wall clocks step.
 
 use std::time::Duration;
 
 use ids::{BoxId, Moment};
 use usage::{ClusterClock, UnixTime};
 
-/// True time at the start of the steady clock, in milliseconds since 1970.
+/// Cluster time at the start of the monotonic clock, in milliseconds since the Unix epoch.
 const EPOCH: u64 = 1_700_000_000_000;
 
 fn at(millis: u64) -> Moment {
@@ -13,96 +13,96 @@
 }
 
 fn name(number: usize) -> BoxId {
-    format!("box-{number}").parse().expect("an id")
+    format!("box-{number}").parse().expect("a valid ID")
 }
 
-/// All boxes tell their time of day at `millis`; those of `stepped` are off by as many milliseconds.
-fn tell(clock: &mut ClusterClock, millis: u64, stepped: &[i64]) {
-    for (number, step) in stepped.iter().enumerate() {
+/// All boxes report their wall clock at `millis`, each with the error in `steps` (in milliseconds).
+fn observe_all(clock: &mut ClusterClock, millis: u64, steps: &[i64]) {
+    for (number, step) in steps.iter().enumerate() {
         let time = (EPOCH + millis).saturating_add_signed(*step);
         clock.observe(at(millis), &name(number), UnixTime::new(time));
     }
 }
 
-/// How far the clock is off at `millis`.
-fn error(clock: &ClusterClock, millis: u64) -> i64 {
-    let told = clock.now(at(millis)).expect("something was heard").millis();
-    told.cast_signed() - (EPOCH + millis).cast_signed()
+/// Returns the error of the clock at `millis`.
+fn clock_error(clock: &ClusterClock, millis: u64) -> i64 {
+    let estimate = clock.now(at(millis)).expect("a clock reading").millis();
+    estimate.cast_signed() - (EPOCH + millis).cast_signed()
 }
 
 #[test]
-fn it_knows_nothing_before_anything_was_heard() {
+fn time_is_unknown_before_first_reading() {
     assert_eq!(ClusterClock::default().now(at(5)), None);
 }
 
 #[test]
-fn fewer_than_half_of_the_boxes_cannot_move_it() {
+fn minority_of_wrong_clocks_does_not_move_time() {
     let mut clock = ClusterClock::default();
-    tell(&mut clock, 0, &[0, 10, -10, 4_000, -3_000]);
+    observe_all(&mut clock, 0, &[0, 10, -10, 4_000, -3_000]);
     assert!(clock.is_anchored());
-    assert!(error(&clock, 0).abs() <= 10);
+    assert!(clock_error(&clock, 0).abs() <= 10);
 }
 
 #[test]
-fn a_step_of_all_boxes_together_moves_nothing_before_it_has_lasted() {
+fn short_step_of_all_boxes_is_ignored() {
     for step in [4_000, -4_000] {
         let mut clock = ClusterClock::default();
         let mut now = 0;
         while now < 20_000 {
-            // From second 5 to second 15 all of them are off.
-            let off = if (5_000..15_000).contains(&now) { step } else { 0 };
-            tell(&mut clock, now, &[off; 5]);
-            assert_eq!(error(&clock, now), 0, "at {now} after a step by {step}");
+            // All clocks are wrong from second 5 to second 15.
+            let error = if (5_000..15_000).contains(&now) { step } else { 0 };
+            observe_all(&mut clock, now, &[error; 5]);
+            assert_eq!(clock_error(&clock, now), 0, "at {now} after a step by {step}");
             now += 250;
         }
     }
 }
 
 #[test]
-fn a_step_that_stays_is_taken_in_the_end() {
+fn lasting_step_is_applied() {
     let mut clock = ClusterClock::default();
-    tell(&mut clock, 0, &[3_000; 4]);
+    observe_all(&mut clock, 0, &[3_000; 4]);
     let mut now = 250;
     while now < 120_000 {
-        tell(&mut clock, now, &[0; 4]);
+        observe_all(&mut clock, now, &[0; 4]);
         now += 250;
     }
-    assert_eq!(error(&clock, now), 0);
+    assert_eq!(clock_error(&clock, now), 0);
 }
 
 #[test]
-fn drift_is_followed_at_once() {
+fn drift_is_applied_at_once() {
     let mut clock = ClusterClock::default();
     for second in 0..600_i64 {
-        // A thousandth of drift against the steady clock: 600 ms in all, far more than a step.
-        tell(&mut clock, second.cast_unsigned() * 1_000, &[second, second, second]);
+        // A drift of 0.1% adds up to 600 ms, more than a step.
+        observe_all(&mut clock, second.cast_unsigned() * 1_000, &[second, second, second]);
     }
-    assert_eq!(error(&clock, 599_000), 599);
+    assert_eq!(clock_error(&clock, 599_000), 599);
 }
 
 #[test]
-fn a_box_that_hears_nobody_keeps_what_was_agreed_on() {
+fn isolated_box_keeps_agreed_offset() {
     let mut clock = ClusterClock::default();
-    tell(&mut clock, 0, &[0, 5, -5]);
+    observe_all(&mut clock, 0, &[0, 5, -5]);
     for now in (250..60_000).step_by(250) {
-        // Its own voice alone, after a step.
+        // Only the box's own reading, after a step.
         clock.observe(at(now), &name(0), UnixTime::new(EPOCH + now + 5_000));
     }
-    assert!(error(&clock, 60_000).abs() <= 5);
+    assert!(clock_error(&clock, 60_000).abs() <= 5);
 }
 
 #[test]
-fn a_box_that_starts_on_a_wrong_clock_is_right_once_two_others_are_heard() {
+fn quorum_corrects_wrong_clock_at_start() {
     let mut clock = ClusterClock::default();
     clock.observe(at(0), &name(0), UnixTime::new(EPOCH + 8_000));
-    assert_eq!(error(&clock, 0), 8_000);
-    tell(&mut clock, 250, &[8_000, 0, 0]);
-    assert_eq!(error(&clock, 250), 0);
+    assert_eq!(clock_error(&clock, 0), 8_000);
+    observe_all(&mut clock, 250, &[8_000, 0, 0]);
+    assert_eq!(clock_error(&clock, 250), 0);
 }
 
 #[test]
-fn an_entry_box_follows_what_it_is_told() {
+fn entry_box_adopts_reported_time() {
     let mut clock = ClusterClock::default();
     clock.follow(at(100), UnixTime::new(EPOCH + 100));
-    assert_eq!((error(&clock, 100), error(&clock, 9_000)), (0, 0));
+    assert_eq!((clock_error(&clock, 100), clock_error(&clock, 9_000)), (0, 0));
 }
--- a/crates/usage/tests/table.rs
+++ b/crates/usage/tests/table.rs
@@ -1,4 +1,4 @@
-//! Counts that travel in any order, more than once, from boxes that come and go.
+//! Tests of count merging: any order, duplicates and restarted boxes.
 
 use std::time::Duration;
 
@@ -8,28 +8,28 @@
     CountSource, TableVersion, UnixTime, UsageCount, UsageTable, UsageWindow, WindowLength,
 };
 
-fn source(number: u64, life: u64) -> CountSource {
-    let box_id = format!("box-{number}").parse().expect("an id");
-    CountSource { box_id, incarnation: Incarnation::new(life) }
+fn source(number: u64, incarnation: u64) -> CountSource {
+    let box_id = format!("box-{number}").parse().expect("a valid ID");
+    CountSource { box_id, incarnation: Incarnation::new(incarnation) }
 }
 
 fn customer(number: u64) -> CustomerName {
-    format!("customer-{number}").parse().expect("a name")
+    format!("customer-{number}").parse().expect("a valid name")
 }
 
 fn total(table: &UsageTable, window: u64, of: u64) -> u64 {
     table.totals(UsageWindow::new(window)).get(&customer(of)).copied().unwrap_or_default()
 }
 
-fn merge_all(table: &mut UsageTable, told: Vec<UsageCount>) {
-    for count in told {
+fn merge_all(table: &mut UsageTable, counts: Vec<UsageCount>) {
+    for count in counts {
         table.merge(count);
     }
 }
 
 #[test]
-fn windows_are_counted_from_1970() {
-    let length = WindowLength::new(Duration::from_secs(5)).expect("a length");
+fn windows_are_counted_from_unix_epoch() {
+    let length = WindowLength::new(Duration::from_secs(5)).expect("a positive length");
     let window = length.window_of(UnixTime::new(1_767_225_601_234));
     assert_eq!(window.get(), 353_445_120);
     assert_eq!(length.end_of(window).millis(), 1_767_225_605_000);
@@ -37,21 +37,21 @@
 }
 
 #[test]
-fn a_repeat_and_an_older_word_add_nothing() {
+fn duplicate_and_outdated_counts_are_ignored() {
     let mut at_entry = UsageTable::default();
     at_entry.count(&source(1, 1), UsageWindow::new(7), &customer(1));
     let early = at_entry.since(TableVersion::default());
     at_entry.count(&source(1, 1), UsageWindow::new(7), &customer(1));
     let late = at_entry.since(TableVersion::default());
     let mut reporter = UsageTable::default();
-    for told in [&early, &late, &late, &early] {
-        merge_all(&mut reporter, told.clone());
+    for counts in [&early, &late, &late, &early] {
+        merge_all(&mut reporter, counts.clone());
     }
     assert_eq!(total(&reporter, 7, 1), 2);
 }
 
 #[test]
-fn a_later_life_of_a_box_counts_beside_the_earlier_one() {
+fn incarnations_of_a_box_count_separately() {
     let mut table = UsageTable::default();
     table.count(&source(1, 1), UsageWindow::new(7), &customer(1));
     table.count(&source(1, 2), UsageWindow::new(7), &customer(1));
@@ -59,19 +59,19 @@
 }
 
 #[test]
-fn only_changes_are_told() {
+fn only_changes_are_returned() {
     let mut table = UsageTable::default();
     table.count(&source(1, 1), UsageWindow::new(7), &customer(1));
-    let told = table.version();
-    assert!(table.since(told).is_empty());
+    let seen = table.version();
+    assert!(table.since(seen).is_empty());
     table.count(&source(1, 1), UsageWindow::new(8), &customer(2));
-    let news = table.since(told);
-    assert_eq!(news.len(), 1);
-    assert_eq!((news[0].window.get(), news[0].requests), (8, 1));
+    let changes = table.since(seen);
+    assert_eq!(changes.len(), 1);
+    assert_eq!((changes[0].window.get(), changes[0].requests), (8, 1));
 }
 
 #[test]
-fn forgotten_windows_do_not_come_back() {
+fn removed_windows_do_not_return() {
     let mut table = UsageTable::default();
     table.count(&source(1, 1), UsageWindow::new(7), &customer(1));
     let old = table.since(TableVersion::default());
@@ -83,15 +83,16 @@
 }
 
 #[test]
-fn whichever_way_counts_come_the_totals_are_those_that_were_counted() {
+fn merge_order_and_duplicates_do_not_change_totals() {
     arbtest(|u| {
-        // Three entry boxes count; two tellers hear them in turns, and pass on what they know, some of it twice.
+        // Three entry boxes count. Two relays receive their counts and forward them to the
+        // reporter, some of them twice.
         let mut entries = [UsageTable::default(), UsageTable::default(), UsageTable::default()];
-        let mut tellers = [UsageTable::default(), UsageTable::default()];
+        let mut relays = [UsageTable::default(), UsageTable::default()];
         let mut reporter = UsageTable::default();
         let mut counted = 0;
         for _ in 0..u.int_in_range(1..=40)? {
-            let (entry, teller) = (u.int_in_range(0..=2)?, u.int_in_range(0..=1)?);
+            let (entry, relay) = (u.int_in_range(0..=2)?, u.int_in_range(0..=1)?);
             match u.int_in_range(0..=2)? {
                 0 => {
                     let by = source(entry as u64, 1);
@@ -99,16 +100,16 @@
                     counted += 1;
                 }
                 1 => {
-                    let told = entries[entry].since(TableVersion::default());
-                    merge_all(&mut tellers[teller], told);
+                    let counts = entries[entry].since(TableVersion::default());
+                    merge_all(&mut relays[relay], counts);
                 }
-                _ => merge_all(&mut reporter, tellers[teller].since(TableVersion::default())),
+                _ => merge_all(&mut reporter, relays[relay].since(TableVersion::default())),
             }
             assert!(total(&reporter, 3, 1) <= counted);
         }
         for entry in &entries {
-            let told = entry.since(TableVersion::default());
-            merge_all(&mut reporter, told);
+            let counts = entry.since(TableVersion::default());
+            merge_all(&mut reporter, counts);
         }
         assert_eq!(total(&reporter, 3, 1), counted);
         Ok(())
