--- a/crates/replicas/src/lib.rs
+++ b/crates/replicas/src/lib.rs
@@ -1,10 +1,10 @@
-//! How many replicas of a service each failure domain should hold, and when that is ordered.
+//! Decides how many replicas of a service each failure domain should have, and when to order them.
 //!
-//! A deployment is given a number of replicas in each domain. Those that crash for good, are lost or are taken away
-//! are ordered anew, so that the work keeps as many as it was given. An order names the number that a domain should
-//! hold, not how many to add: sent twice, or taken without an answer, it does no harm.
+//! A deployment is given a number of replicas in each domain. Replicas that are lost permanently
+//! are ordered again, so that the service keeps that number. An order states the total number for a
+//! domain and is therefore idempotent.
 //!
-//! Nothing here does I/O or reads a clock.
+//! This crate does no I/O and reads no clock.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,119 +12,119 @@
 use ids::{DomainId, Moment};
 use serde::{Deserialize, Serialize};
 
-/// A domain must have been short for so long before replicas are ordered for it. A target that crashes and starts again
-/// is off the list for some two seconds, and one replaced in that time would have to be drained again.
-const SHORT_TIME: Duration = Duration::from_secs(5);
-/// Pause before the same is ordered again: time to start, and to be listed.
-const AGAIN_PAUSE: Duration = Duration::from_secs(10);
-/// Longest such pause. Where none can be had, each try is a priced call.
-const MOST_PAUSE: Duration = Duration::from_mins(1);
+/// How long a domain must lack replicas before an order. Longer than a crashed target is unlisted
+/// while it restarts, since its replacement would have to be drained again.
+const SHORTAGE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Initial delay before an order is repeated, for the replica to start and be listed.
+const MIN_REPEAT_DELAY: Duration = Duration::from_secs(10);
+/// Maximum delay before an order is repeated. Each order is a billed call, even without capacity.
+const MAX_REPEAT_DELAY: Duration = Duration::from_mins(1);
 
-/// How many replicas a domain may hold.
+/// Limits for the number of replicas in a domain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReplicaLimits {
-    /// At least.
-    pub least: u32,
-    /// At most.
-    pub most: u32,
+    /// Minimum number of replicas.
+    pub min: u32,
+    /// Maximum number of replicas.
+    pub max: u32,
 }
 
 impl ReplicaLimits {
     const fn clamp(self, wanted: u32) -> u32 {
-        let wanted = if wanted < self.least { self.least } else { wanted };
-        if wanted > self.most { self.most } else { wanted }
+        let wanted = if wanted < self.min { self.min } else { wanted };
+        if wanted > self.max { self.max } else { wanted }
     }
 }
 
-/// Replicas that a service was given, by domain; lies in the store, so that a box which takes the duty over does not
-/// take a shortage for what was given.
+/// Number of replicas that a service was given in each domain. Kept in the store, so that a box
+/// that takes over does not mistake a shortage for the given number.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BaselineReplicas {
-    /// Replicas by domain.
+    /// Number of replicas by domain.
     pub domains: BTreeMap<DomainId, u32>,
 }
 
-/// An order: how many replicas a domain should hold.
+/// An order for the total number of replicas in a domain.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReplicaOrder {
     /// The domain.
     pub domain: DomainId,
-    /// How many.
+    /// Total number of replicas.
     pub desired: u32,
 }
 
-/// How an order ended.
+/// Outcome of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// It was taken.
-    Taken,
-    /// None can be had there now.
+    /// The order was accepted.
+    Accepted,
+    /// No capacity is available in the domain.
     NoCapacity,
-    /// It was not taken, or nobody knows.
+    /// The order was not accepted, or the outcome is unknown.
     Failed,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct OrderedState {
+struct LastOrder {
     desired: u32,
     not_before: Moment,
-    pause: Duration,
+    delay: Duration,
 }
 
-/// The orders of one service's replicas.
+/// Order state of one service.
 #[derive(Debug, Clone, Default)]
 pub struct ReplicaPlan {
-    /// Domains that are short, and since when.
-    short: BTreeMap<DomainId, Moment>,
-    ordered: BTreeMap<DomainId, OrderedState>,
+    /// Domains that lack replicas, and since when.
+    shortages: BTreeMap<DomainId, Moment>,
+    last_orders: BTreeMap<DomainId, LastOrder>,
 }
 
 impl ReplicaPlan {
-    /// The orders that are due: `listed` are the replicas that serve now. What is listed counts only while the list is
-    /// `known` to be current: a store that is away, or has just come back, lists fewer than there are.
+    /// Returns the due orders. `listed` is the number of serving replicas by domain. It is ignored
+    /// unless `is_current`: a store that is unavailable, or has just recovered, lists too few.
     pub fn due(
         &mut self,
         now: Moment,
         given: &BaselineReplicas,
         limits: ReplicaLimits,
         listed: &BTreeMap<DomainId, u32>,
-        known: bool,
+        is_current: bool,
     ) -> Vec<ReplicaOrder> {
-        if !known {
-            self.short.clear();
+        if !is_current {
+            self.shortages.clear();
             return Vec::new();
         }
         let mut due = Vec::new();
         for (domain, wanted) in &given.domains {
             let desired = limits.clamp(*wanted);
             if listed.get(domain).copied().unwrap_or_default() >= desired {
-                self.short.remove(domain);
-                self.ordered.remove(domain);
+                self.shortages.remove(domain);
+                self.last_orders.remove(domain);
                 continue;
             }
-            let since = *self.short.entry(domain.clone()).or_insert(now);
-            let pausing = self
-                .ordered
-                .get(domain)
-                .is_some_and(|ordered| ordered.desired == desired && now < ordered.not_before);
-            if now.since(since) >= SHORT_TIME && !pausing {
+            let since = *self.shortages.entry(domain.clone()).or_insert(now);
+            let is_delayed = self.last_orders.get(domain).is_some_and(|last_order| {
+                last_order.desired == desired && now < last_order.not_before
+            });
+            if now.since(since) >= SHORTAGE_TIMEOUT && !is_delayed {
                 due.push(ReplicaOrder { domain: domain.clone(), desired });
             }
         }
         due
     }
 
-    /// Takes how an order ended.
+    /// Applies the outcome of an order, which sets the delay before it is repeated.
     pub fn order_done(&mut self, now: Moment, order: &ReplicaOrder, outcome: OrderOutcome) {
-        let before = self.ordered.get(&order.domain).map(|ordered| ordered.pause);
-        let pause = match outcome {
-            // Nothing may have been done: again soon, since it does no harm twice.
+        let before = self.last_orders.get(&order.domain).map(|last_order| last_order.delay);
+        let delay = match outcome {
+            // Orders are idempotent, so the delay is short.
             OrderOutcome::Failed => Duration::from_secs(1),
-            OrderOutcome::Taken | OrderOutcome::NoCapacity => {
-                before.map_or(AGAIN_PAUSE, |pause| (pause * 2).clamp(AGAIN_PAUSE, MOST_PAUSE))
-            }
+            OrderOutcome::Accepted | OrderOutcome::NoCapacity => before
+                .map_or(MIN_REPEAT_DELAY, |delay| {
+                    (delay * 2).clamp(MIN_REPEAT_DELAY, MAX_REPEAT_DELAY)
+                }),
         };
-        let state = OrderedState { desired: order.desired, not_before: now + pause, pause };
-        self.ordered.insert(order.domain.clone(), state);
+        let state = LastOrder { desired: order.desired, not_before: now + delay, delay };
+        self.last_orders.insert(order.domain.clone(), state);
     }
 }
--- a/crates/shards/src/replicas.rs
+++ b/crates/shards/src/replicas.rs
@@ -137,12 +137,12 @@
     let sent = duty.client.order_replicas(&hand, service, &order.domain, order.desired).await;
     duty.note_call(sent);
     let outcome = match sent {
-        Ok(()) => OrderOutcome::Taken,
+        Ok(()) => OrderOutcome::Accepted,
         Err(AccountingError::NoCapacity | AccountingError::Refused(_)) => OrderOutcome::NoCapacity,
         Err(AccountingError::NoAnswer | AccountingError::Unavailable(_)) => OrderOutcome::Failed,
     };
     let word = match outcome {
-        OrderOutcome::Taken => "taken",
+        OrderOutcome::Accepted => "taken",
         OrderOutcome::NoCapacity => "none to be had",
         OrderOutcome::Failed => "failed",
     };
--- a/crates/xtask/src/mutate.rs
+++ b/crates/xtask/src/mutate.rs
@@ -340,18 +340,18 @@
     Mutation {
         name: "replicas: a store that is away lists a shortage",
         file: "crates/replicas/src/lib.rs",
-        from: "            self.short.clear();",
+        from: "            self.shortages.clear();",
         to: "",
         package: "replicas",
-        test: "what_a_store_lists",
+        test: "outdated_listing_is_no_shortage",
     },
     Mutation {
         name: "replicas: a crash orders a replica at once",
         file: "crates/replicas/src/lib.rs",
-        from: "now.since(since) >= SHORT_TIME && !pausing",
-        to: "now >= since && !pausing",
+        from: "now.since(since) >= SHORTAGE_TIMEOUT && !is_delayed",
+        to: "now >= since && !is_delayed",
         package: "replicas",
-        test: "a_crash_and_a_return",
+        test: "short_crash_orders_nothing",
     },
     Mutation {
         name: "usage: a box that reports hears from no domain without a teller",
