--- a/crates/suspects/src/lib.rs
+++ b/crates/suspects/src/lib.rs
@@ -9,7 +9,7 @@
 //! These rules protect innocent work:
 //! - Only a crash counts, not a closed connection, and each incarnation of a target counts once.
 //! - Work that completes successfully is cleared at once.
-//! - Crashes that other work explains as well do not quarantine it ([`verdict`]).
+//! - Crashes that other work explains as well do not quarantine it (module `verdict`).
 //! - Suspects run at different targets where possible, so that the next crash tells them apart. One
 //!   crash before quarantine this becomes mandatory.
 //! - Quarantine is per service and software version, and expires.
--- a/crates/suspects/src/table.rs
+++ b/crates/suspects/src/table.rs
@@ -16,8 +16,8 @@
 const MAX_SUSPECTS: usize = 512;
 /// Maximum number of unresolved disconnects per work digest.
 const MAX_BREAKS: usize = 16;
-/// How long a disconnect waits for confirmation of a crash. A target's list entry expires after 4
-/// s.
+/// How long a disconnect waits for confirmation of a crash. The list entry of a crashed target
+/// expires after about 4 s.
 const BREAK_TTL: Duration = Duration::from_secs(6);
 /// An incarnation that is still listed this long after it refused a connection has not crashed: its
 /// entry would have expired.
@@ -228,8 +228,8 @@
         self.suspects.get(&work).map_or(0, Suspect::count)
     }
 
-    /// Records that a target broke off `work`. Returns `true` if the caller should probe the
-    /// incarnation, because no earlier disconnect involves it.
+    /// Records that a target disconnected while it ran `work`. Returns `true` if the caller should
+    /// probe the incarnation, because no earlier disconnect involves it.
     pub fn record_break(
         &mut self,
         now: Moment,
@@ -291,8 +291,7 @@
         due.map(|(incarnation, _)| incarnation).collect()
     }
 
-    /// Removes crashes and disconnects of an incarnation that turned out to be alive or left as
-    /// planned.
+    /// Removes crashes and disconnects of an incarnation that is still alive or left as planned.
     pub fn clear_incarnation(&mut self, incarnation: &TargetIncarnation) {
         for suspect in self.suspects.values_mut() {
             let before = suspect.count();
@@ -355,8 +354,8 @@
                 Some(suspect) => suspect
                     .incarnations()
                     .any(|incarnation| entry.incarnations().any(|other| other == incarnation)),
-                // A single crash makes all work at the target suspect, which is too weak to avoid
-                // it.
+                // A single crash makes all work at the target a suspect, which is too little
+                // evidence to avoid it.
                 None => entry.count() >= ISOLATION_CRASHES,
             };
             **other != work && conflicts
