--- a/crates/suspects/src/lib.rs
+++ b/crates/suspects/src/lib.rs
@@ -1,9 +1,9 @@
 //! Detects and quarantines poison work: requests that crash the targets that run them.
 //!
-//! A poison request crashes one target after another: each box retries it at the next target, and its
-//! caller retries it at other boxes, until the service has no target left. Therefore each box records
-//! by digest which work was running when a target crashed ([`SuspectTable`]), shares this with the
-//! other boxes ([`SuspectRecord`]), and rejects work that is quarantined.
+//! A poison request crashes one target after another: each box retries it at the next target, and
+//! its caller retries it at other boxes, until the service has no target left. Therefore each box
+//! records by digest which work was running when a target crashed ([`SuspectTable`]), shares this
+//! with the other boxes ([`SuspectRecord`]), and rejects work that is quarantined.
 //!
 //! A crash disconnects everything that ran at the target, and targets also crash for other reasons.
 //! These rules protect innocent work:
--- a/crates/suspects/tests/table.rs
+++ b/crates/suspects/tests/table.rs
@@ -220,12 +220,12 @@
     assert_eq!(table.anti_affinity(work("other crash")), AntiAffinity::default());
     table.work_ended(work("poison"), &instance(7));
     assert!(table.anti_affinity(work("innocent")).targets.is_empty());
-    let mut answered = SuspectTable::default();
+    let mut cleared = SuspectTable::default();
     for number in 0..QUARANTINE_CRASHES {
-        crash_under(&mut answered, at(1), number, &["poison", "innocent"]);
+        crash_under(&mut cleared, at(1), number, &["poison", "innocent"]);
     }
-    answered.succeeded(work("innocent"));
-    assert!(is_quarantined(&answered, at(1), "poison"), "without another crash");
+    cleared.succeeded(work("innocent"));
+    assert!(is_quarantined(&cleared, at(1), "poison"), "without another crash");
     crash_under(&mut table, at(2), 8, &["poison"]);
     assert!(is_quarantined(&table, at(2), "poison") && !is_quarantined(&table, at(2), "innocent"));
 }
--- a/crates/usage/src/plan.rs
+++ b/crates/usage/src/plan.rs
@@ -121,9 +121,9 @@
         self.last = LastReport::Unread;
     }
 
-    /// Returns the next action, if one is due. `all_heard` is whether every box that may hold
+    /// Returns the next action, if one is due. `all_reachable` is whether every box that may hold
     /// counts has been reachable recently.
-    pub fn poll(&self, now: UnixTime, all_heard: bool) -> Option<ReportAction> {
+    pub fn poll(&self, now: UnixTime, all_reachable: bool) -> Option<ReportAction> {
         let (window, expect) = match &self.last {
             LastReport::Unread => return Some(ReportAction::Read),
             LastReport::Report { report, delivered: false, .. } => {
@@ -134,7 +134,7 @@
                 (report.window.next().max(self.oldest_kept(now)), *version)
             }
         };
-        let wait = if all_heard { self.times.settle } else { self.times.timeout };
+        let wait = if all_reachable { self.times.settle } else { self.times.timeout };
         let due = self.times.length.end_of(window).millis() + whole_millis(wait);
         (now.millis() >= due).then_some(ReportAction::Commit { window, expect })
     }
