--- a/crates/gannetctl/src/explain.rs
+++ b/crates/gannetctl/src/explain.rs
@@ -17,8 +17,13 @@
 use crate::output::{Table, print};
 
 /// Events that tell who serves a shard.
-const SHARD_EVENTS: [&str; 5] =
-    ["serving", "not serving", "plan in force", "not taken", "copy did not take the append"];
+const SHARD_EVENTS: [&str; 5] = [
+    "serving",
+    "not serving",
+    "plan in force",
+    "takeover failed",
+    "copy did not accept the append",
+];
 /// Events that tell what is believed of a piece of work, at any time.
 const WORK_EVENTS: [&str; 4] =
     ["target looked at", "work under suspicion", "work turned away", "work free again"];
--- a/crates/gannetctl/src/step_account.rs
+++ b/crates/gannetctl/src/step_account.rs
@@ -163,7 +163,7 @@
     pub fn take(&mut self, line: &LogLine) {
         let time_s = line.time_s;
         match line.event.as_str() {
-            "step told" => {
+            "step timings" => {
                 let oldest = line.number("min_version").map_or(0, whole);
                 self.steps.extend(StepTimings::read(line).map(|step| (step, oldest)));
             }
--- a/crates/gannetctl/src/usage_windows.rs
+++ b/crates/gannetctl/src/usage_windows.rs
@@ -52,8 +52,8 @@
 
 fn take(windows: &mut BTreeMap<u64, WindowAccount>, line: &LogLine) {
     let number = |name: &str| line.fields.get(name).and_then(serde_json::Value::as_u64);
-    let fixed = line.event == "report of use";
-    if !fixed && line.event != "report of use sent" {
+    let fixed = line.event == "usage report";
+    if !fixed && line.event != "usage report sent" {
         return;
     }
     let Some(window) = number("window") else { return };
--- a/crates/gannetctl/tests/explain.rs
+++ b/crates/gannetctl/tests/explain.rs
@@ -7,7 +7,7 @@
 use common::{LogFiles, fault, text};
 
 const KEEPER: &str = r#"
-   5.1 keep-1 {"box":"keep-1","event":"job taken","items":2,"job":"j1","min_version":3,"outcome":"accepted","part":"jobs","shard":0,"t":100.5,"level":"info"}
+   5.1 keep-1 {"box":"keep-1","event":"job submitted","items":2,"job":"j1","min_version":3,"outcome":"accepted","part":"jobs","shard":0,"t":100.5,"level":"info"}
 not a log line
 {"box":"keep-1","event":"run ended","from_event":0,"events":5,"item":"i1","job":"j1","outcome":"slow engine","part":"jobs","t":102.25,"level":"info","target":"e1"}
 {"box":"keep-1","event":"run ended","from_event":0,"events":5,"item":"i2","job":"j1","outcome":"silent","part":"jobs","t":102.5,"level":"info","target":"e2"}
@@ -44,7 +44,7 @@
     let told = text(&explain("item", &[], "i1"));
     let events: Vec<&str> = told.lines().skip(1).take(4).collect();
     assert_eq!(events.len(), 4, "{told}");
-    assert!(events[0].contains("keep-1   job taken"), "{told}");
+    assert!(events[0].contains("keep-1   job submitted"), "{told}");
     assert!(events[1].contains("entry-1  job handed in"), "{told}");
     assert!(events[2].contains("outcome=slow engine"), "{told}");
     assert!(events[3].contains("why=copy lost"), "{told}");
--- a/crates/gannetctl/tests/steps.rs
+++ b/crates/gannetctl/tests/steps.rs
@@ -10,8 +10,8 @@
 const KEEPER: &str = r#"
 {"box":"keep-1","event":"version named","part":"config","t":99.0,"level":"info","model":"m0","weight_version":3}
 {"box":"keep-2","event":"version named","part":"config","t":99.5,"level":"info","model":"m0","weight_version":3}
-{"box":"keep-1","event":"step told","part":"jobs","t":107.0,"level":"info","job":"j1","shard":0,"model":"m0","step":4,"min_version":3,"wanted":2,"carried":8,"first_run_ms":500,"wanted_ms":6000,"read_ms":6400,"ended_ms":7000,"item":"i9","target":"e7","runs":2,"waited_ms":1500,"ran_ms":4000,"scored_ms":300,"old_ms":1200,"loading_ms":0,"resting_ms":0,"full_ms":400,"no_route_ms":0}
-{"box":"keep-1","event":"step told","part":"jobs","t":120.0,"level":"info","job":"j2","shard":0,"model":"m1","step":1,"min_version":2,"wanted":2,"carried":0,"first_run_ms":4000,"wanted_ms":-1,"read_ms":-1,"ended_ms":12000,"item":"","target":"","runs":0,"waited_ms":0,"ran_ms":0,"scored_ms":0,"old_ms":9000,"loading_ms":100,"resting_ms":0,"full_ms":0,"no_route_ms":0}
+{"box":"keep-1","event":"step timings","part":"jobs","t":107.0,"level":"info","job":"j1","shard":0,"model":"m0","step":4,"min_version":3,"wanted":2,"carried":8,"first_run_ms":500,"wanted_ms":6000,"read_ms":6400,"ended_ms":7000,"item":"i9","target":"e7","runs":2,"waited_ms":1500,"ran_ms":4000,"scored_ms":300,"old_ms":1200,"loading_ms":0,"resting_ms":0,"full_ms":400,"no_route_ms":0}
+{"box":"keep-1","event":"step timings","part":"jobs","t":120.0,"level":"info","job":"j2","shard":0,"model":"m1","step":1,"min_version":2,"wanted":2,"carried":0,"first_run_ms":4000,"wanted_ms":-1,"read_ms":-1,"ended_ms":12000,"item":"","target":"","runs":0,"waited_ms":0,"ran_ms":0,"scored_ms":0,"old_ms":9000,"loading_ms":100,"resting_ms":0,"full_ms":0,"no_route_ms":0}
 "#;
 
 const ENTRY: &str = r#"{"box":"entry-1","event":"job handed in","items":2,"job":"j1","outcome":"not served","part":"entry","shard":0,"t":99.9,"level":"info"}
--- a/crates/shards/src/claim.rs
+++ b/crates/shards/src/claim.rs
@@ -1,9 +1,9 @@
-//! A duty that one box holds at a time: the claim on its lease, and who should make one.
+//! Leases for work that one box does at a time, and the choice of the box that claims them.
 //!
-//! Whoever has the duty speaks to others who check no tokens, so a box acts only while it holds the lease, and after a
-//! change of holder waits until no word of the earlier one can be near. The box that serves the shard of the duty's
-//! name claims the lease. A holder that is well keeps it when the shard moves, and takes it up again after a restart,
-//! since every change of holder costs a pause.
+//! The receivers of this work don't check tokens. So a box acts only while it holds the lease, and
+//! a new holder first waits until calls of the previous one must have ended. The box that serves
+//! the shard of the lease's name claims the lease. A healthy holder keeps it when the shard moves,
+//! and resumes it after a restart, since each change of holder causes a pause.
 
 use std::fmt;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -21,25 +21,25 @@
 use crate::context::ShardContext;
 use crate::keepers::KeeperSet;
 
-/// Term of the lease. A holder that is gone delays its duty by this and by the gap between
-/// holders; each renewal is a priced call.
+/// Lease term. After a holder fails, its work is delayed by the term and the gap between holders;
+/// each renewal is a billed store call.
 pub(crate) const TERM: Duration = Duration::from_millis(1_500);
-/// Beyond the gap that the platform asks for between two holders: the way of a call.
+/// Added to the configured gap between two holders for calls in flight.
 const GAP_SLACK: Duration = Duration::from_millis(300);
-/// A holder that cannot do its duty leaves it to others for this long: a few changes of holder.
-const UNFIT_TIME: Duration = Duration::from_secs(15);
+/// How long a holder that can't do its work leaves the lease to other boxes.
+const UNFIT_BACKOFF: Duration = Duration::from_secs(15);
 
-/// What one box does for all.
+/// The work that a lease covers.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum DutySubject {
-    /// Orders the engines of a service.
+pub(crate) enum LeaseSubject {
+    /// Orders to the engines of a service.
     Engines(ServiceName),
-    /// Speaks to the platform's accounts: reports of use, orders of replicas.
+    /// Calls to the platform's accounting service: usage reports and replica orders.
     Accounts,
 }
 
-impl DutySubject {
-    /// The name by which its shard is found.
+impl LeaseSubject {
+    /// The name that determines the responsible shard.
     fn shard_name(&self) -> &str {
         match self {
             Self::Engines(service) => service.as_str(),
@@ -48,8 +48,8 @@
     }
 }
 
-/// The name of its lease.
-impl fmt::Display for DutySubject {
+/// The lease's object name.
+impl fmt::Display for LeaseSubject {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Engines(service) => write!(f, "engines-{service}"),
@@ -58,16 +58,16 @@
     }
 }
 
-/// This box's claim on one duty.
+/// This box's claim on one lease.
 #[derive(Debug)]
-pub(crate) struct DutyClaim {
-    subject: DutySubject,
+pub(crate) struct ManagedLease {
+    subject: LeaseSubject,
     claim: Mutex<LeaseClaim>,
-    /// Whether another box was read to hold it.
-    others: Mutex<bool>,
-    /// Set while an action on the lease is under way.
+    /// Whether the last read or write showed that this box does not hold the lease.
+    held_elsewhere: Mutex<bool>,
+    /// Set while an action on the lease is in flight.
     busy: Mutex<bool>,
-    /// Until when this box leaves the duty to others.
+    /// Until when this box leaves the lease to other boxes.
     unfit_until: Mutex<Moment>,
 }
 
@@ -75,119 +75,121 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl DutyClaim {
-    /// A claim that has read nothing yet.
-    pub fn new(ctx: &ShardContext, subject: DutySubject) -> Self {
+impl ManagedLease {
+    /// Creates a claim that has not been read yet.
+    pub fn new(ctx: &ShardContext, subject: LeaseSubject) -> Self {
         let me = &ctx.me;
-        let life = ctx.view.usage.incarnation();
-        let claim = LeaseClaim::new(me.box_id.clone(), life, me.address.clone(), TERM)
+        let incarnation = ctx.view.usage.incarnation();
+        let claim = LeaseClaim::new(me.box_id.clone(), incarnation, me.address.clone(), TERM)
             .with_gap(ctx.settings.order_gap + GAP_SLACK);
         Self {
             subject,
             claim: Mutex::new(claim),
-            others: Mutex::new(false),
+            held_elsewhere: Mutex::new(false),
             busy: Mutex::new(false),
             unfit_until: Mutex::new(Moment::START),
         }
     }
 
-    /// Whether the lease is held here, or may be for all that has been read of it.
-    fn may_be_mine(&self) -> bool {
-        !*lock(&self.others)
+    /// Returns whether this box holds the lease, or may hold it as far as it has been read.
+    fn may_hold(&self) -> bool {
+        !*lock(&self.held_elsewhere)
     }
 
-    /// The token under which this box may act now.
+    /// Returns the token under which this box may act now.
     pub fn token(&self, now: Moment) -> Option<FencingToken> {
         let claim = lock(&self.claim);
         claim.held(now).filter(|_| now >= claim.quiet_until())
     }
 
-    /// Leaves the duty to others for a while: this box cannot reach those whom it concerns.
-    pub fn leave(&self, now: Moment) {
-        *lock(&self.unfit_until) = now + UNFIT_TIME;
+    /// Leaves the lease to other boxes for a while, because this box can't reach the receivers.
+    pub fn back_off(&self, now: Moment) {
+        *lock(&self.unfit_until) = now + UNFIT_BACKOFF;
     }
 }
 
-/// Does what the claim wants done now, and lets it go where this box leaves the duty. `true` while the duty may be
-/// this box's.
-pub(crate) fn tend_claim(
+/// Runs the claim's next action; releases the lease where this box should not hold it. Returns
+/// whether this box may hold the lease.
+pub(crate) fn maintain_lease(
     ctx: &Arc<ShardContext>,
     keepers: &KeeperSet,
-    held: &Arc<DutyClaim>,
+    lease: &Arc<ManagedLease>,
 ) -> bool {
-    let unfit = ctx.view.now() < *lock(&held.unfit_until);
+    let unfit = ctx.view.now() < *lock(&lease.unfit_until);
     if ctx.is_leaving() || unfit {
-        release(ctx, held);
+        release(ctx, lease);
         return false;
     }
-    let serves = serves_shard(ctx, keepers, held) || stands_in(ctx, held);
-    // A box that stands by holds none, and there may be hundreds that would all look.
-    let concerned = serves || (held.may_be_mine() && ctx.is_at_work());
-    if concerned {
-        poll_claim(ctx, held);
+    let serves = serves_shard(ctx, keepers, lease) || is_fallback_holder(ctx, lease);
+    // A standby box holds no lease. There may be hundreds of them, which must not all poll the
+    // store.
+    let should_poll = serves || (lease.may_hold() && ctx.is_active());
+    if should_poll {
+        poll_claim(ctx, lease);
     }
-    concerned
+    should_poll
 }
 
-fn serves_shard(ctx: &ShardContext, keepers: &KeeperSet, claim: &DutyClaim) -> bool {
+fn serves_shard(ctx: &ShardContext, keepers: &KeeperSet, lease: &ManagedLease) -> bool {
     let shards = ctx.view.shards().unwrap_or(1);
-    let shard = shard_of(claim.subject.shard_name(), shards);
-    keepers.get(shard).is_some_and(|keeper| keeper.is_proven())
+    let shard = shard_of(lease.subject.shard_name(), shards);
+    keepers.get(shard).is_some_and(|keeper| keeper.is_confirmed())
 }
 
-/// Whether this box should hold the lease in place of the shard's server: it has a copy of the
-/// shard's log, reaches the store, and no holder has told of a write for long. The server itself may be
-/// one that the store turns away.
-fn stands_in(ctx: &ShardContext, claim: &DutyClaim) -> bool {
+/// Returns whether this box should claim the lease in place of the shard's server: it has a copy
+/// of the shard's log, reaches the store, and no holder has reported a write for long. The store
+/// may be refusing the server itself.
+fn is_fallback_holder(ctx: &ShardContext, lease: &ManagedLease) -> bool {
     let Some(shards) = ctx.view.shards() else { return false };
-    let shard = shard_of(claim.subject.shard_name(), shards);
-    let duties = ctx.view.assignments();
-    let Some(sighting) = duties.plan(shard) else { return false };
-    let Some(rank) = sighting.plan.rank(&ctx.me.box_id).filter(|rank| *rank > 0) else {
+    let shard = shard_of(lease.subject.shard_name(), shards);
+    let assignments = ctx.view.assignments();
+    let Some(observed) = assignments.plan(shard) else { return false };
+    let Some(rank) = observed.plan.rank(&ctx.me.box_id).filter(|rank| *rank > 0) else {
         return false;
     };
-    let note = ctx.peers.lease_note(&claim.subject.to_string());
-    let told_at = note.map_or(sighting.seen_at, |note| note.heard_at.max(sighting.seen_at));
-    let silent = ctx.view.now().since(told_at);
-    ctx.view.store_state().up && silent >= TERM * u32::try_from(rank).unwrap_or(u32::MAX)
+    let report = ctx.peers.lease_report(&lease.subject.to_string());
+    let reported_at =
+        report.map_or(observed.seen_at, |report| report.heard_at.max(observed.seen_at));
+    let unreported_for = ctx.view.now().since(reported_at);
+    ctx.view.store_state().up && unreported_for >= TERM * u32::try_from(rank).unwrap_or(u32::MAX)
 }
 
-/// Starts what the claim wants done, one action at a time.
-fn poll_claim(ctx: &Arc<ShardContext>, held: &Arc<DutyClaim>) {
-    if *lock(&held.busy) {
+/// Starts the claim's next action unless one is in flight.
+fn poll_claim(ctx: &Arc<ShardContext>, lease: &Arc<ManagedLease>) {
+    if *lock(&lease.busy) {
         return;
     }
     let now = ctx.view.now();
-    let name = held.subject.to_string();
-    let note = ctx.peers.lease_note(&name).filter(|note| note.holder != ctx.me.box_id);
+    let name = lease.subject.to_string();
+    let report = ctx.peers.lease_report(&name).filter(|report| report.holder != ctx.me.box_id);
     let action = {
-        let mut claim = lock(&held.claim);
-        // A holder that is heard needs no look at its lease.
-        let heard = note.as_ref().is_some_and(|note| now.since(note.heard_at) < TERM);
-        if heard && !claim.is_held() && !held.may_be_mine() {
+        let mut claim = lock(&lease.claim);
+        // A lease with a live holder needs no read.
+        let is_live = report.as_ref().is_some_and(|report| now.since(report.heard_at) < TERM);
+        if is_live && !claim.is_held() && !lease.may_hold() {
             return;
         }
-        if let Some(note) = note {
-            claim.record_report(note);
+        if let Some(report) = report {
+            claim.record_report(report);
         }
         claim.poll(now)
     };
     if let Some(action) = action {
-        start_action(ctx, held, action);
+        start_action(ctx, lease, action);
     }
 }
 
-fn start_action(ctx: &Arc<ShardContext>, held: &Arc<DutyClaim>, action: LeaseAction) {
-    *lock(&held.busy) = true;
-    let (ctx, held) = (Arc::clone(ctx), Arc::clone(held));
+fn start_action(ctx: &Arc<ShardContext>, lease: &Arc<ManagedLease>, action: LeaseAction) {
+    *lock(&lease.busy) = true;
+    let (ctx, lease) = (Arc::clone(ctx), Arc::clone(lease));
     tokio::spawn(async move {
-        carry_out(&ctx, &held, action).await;
-        *lock(&held.busy) = false;
+        execute_action(&ctx, &lease, action).await;
+        *lock(&lease.busy) = false;
     });
 }
 
-async fn carry_out(ctx: &ShardContext, held: &DutyClaim, action: LeaseAction) {
-    let name = held.subject.to_string();
+async fn execute_action(ctx: &ShardContext, lease: &ManagedLease, action: LeaseAction) {
+    let name = lease.subject.to_string();
     let call = match &action {
         LeaseAction::Read => StoreCall::Read,
         LeaseAction::Write { .. } => StoreCall::Write,
@@ -196,7 +198,7 @@
     match action {
         LeaseAction::Read => {
             let read = ctx.view.store.get(Kind::Leases, &name).await;
-            note_answer(ctx, read.is_ok());
+            record_store_response(ctx, read.is_ok());
             let outcome = match read {
                 Ok(Some(stored)) => match stored.parse::<LeaseRecord>() {
                     Ok(record) => ReadOutcome::Found(VersionedLease {
@@ -204,28 +206,28 @@
                         record,
                     }),
                     Err(error) => {
-                        log::warn!(target: "conductor", error:% = error; "lease refused");
+                        log::warn!(target: "conductor", error:% = error; "stored lease is invalid");
                         ReadOutcome::NoAnswer
                     }
                 },
                 Ok(None) => ReadOutcome::Absent,
                 Err(_failed) => ReadOutcome::NoAnswer,
             };
-            let mut claim = lock(&held.claim);
+            let mut claim = lock(&lease.claim);
             claim.read_done(ctx.view.now(), outcome);
-            // None to be seen is no claim of this box's either: the one that serves takes it.
-            *lock(&held.others) = !claim.is_held() && !claim.held_by_earlier_incarnation();
+            // If no lease exists, this box doesn't hold it either: the shard's server claims it.
+            *lock(&lease.held_elsewhere) = !claim.is_held() && !claim.held_by_earlier_incarnation();
         }
         LeaseAction::Write { expect, record } => {
-            let before = lock(&held.claim).other_holder().cloned();
+            let before = lock(&lease.claim).other_holder().cloned();
             let first = expect == ObjectVersion::default();
-            let was_held = lock(&held.claim).held(ctx.view.now()).is_some();
+            let was_held = lock(&lease.claim).held(ctx.view.now()).is_some();
             let written = if first {
                 ctx.view.store.create(Kind::Leases, &name, &record).await
             } else {
                 ctx.view.store.replace(Kind::Leases, &name, expect.get(), &record).await
             };
-            note_answer(ctx, matches!(written, Ok(_) | Err(StoreError::Conflict(_))));
+            record_store_response(ctx, matches!(written, Ok(_) | Err(StoreError::Conflict(_))));
             let outcome = match written {
                 Ok(revision) => WriteOutcome::Applied(ObjectVersion::new(revision)),
                 Err(StoreError::Conflict(_)) => WriteOutcome::Conflict,
@@ -234,55 +236,55 @@
             };
             let now = ctx.view.now();
             let token = {
-                let mut claim = lock(&held.claim);
+                let mut claim = lock(&lease.claim);
                 claim.write_done(now, outcome);
                 claim.held(now).zip(claim.held_write())
             };
-            let told = token.map(|(token, write)| HeldLease {
+            let reported = token.map(|(token, write)| HeldLease {
                 name: name.clone(),
                 token: token.get(),
                 write,
             });
-            ctx.note_lease(&name, told);
-            *lock(&held.others) = !lock(&held.claim).is_held();
+            ctx.record_lease(&name, reported);
+            *lock(&lease.held_elsewhere) = !lock(&lease.claim).is_held();
             if !was_held && !record.released {
-                note_hold(ctx, held, before.as_ref());
+                log_acquisition(ctx, lease, before.as_ref());
             }
         }
     }
 }
 
-/// An answer about a lease shows that the store is back, often sooner than a watch does.
-fn note_answer(ctx: &ShardContext, answered: bool) {
+/// A response about a lease shows that the store is reachable, often earlier than a watch does.
+fn record_store_response(ctx: &ShardContext, answered: bool) {
     if answered {
         ctx.view.store_answered(Kind::Leases, true);
     }
 }
 
-/// Notes a new hold; after another box, its orders must be long past.
-fn note_hold(ctx: &ShardContext, held: &DutyClaim, before: Option<&LeaseRecord>) {
+/// Logs an acquired lease and the wait until orders of the previous holder must have ended.
+fn log_acquisition(ctx: &ShardContext, lease: &ManagedLease, before: Option<&LeaseRecord>) {
     let now = ctx.view.now();
-    let claim = lock(&held.claim);
+    let claim = lock(&lease.claim);
     let Some(token) = claim.held(now) else { return };
     let from = claim.quiet_until();
     drop(claim);
     log::info!(
-        target: "conductor", lease:% = held.subject, token = token.get(),
+        target: "conductor", lease:% = lease.subject, token = token.get(),
         after:% = before.map_or("none", |record| record.holder.as_str()),
         wait_ms = whole_millis(from.since(now));
         "lease held"
     );
 }
 
-/// Gives the lease up, if it is held.
-fn release(ctx: &Arc<ShardContext>, held: &Arc<DutyClaim>) {
-    if *lock(&held.busy) {
+/// Releases the lease if it is held.
+fn release(ctx: &Arc<ShardContext>, lease: &Arc<ManagedLease>) {
+    if *lock(&lease.busy) {
         return;
     }
-    let action = lock(&held.claim).release(ctx.view.now());
+    let action = lock(&lease.claim).release(ctx.view.now());
     if let Some(action) = action {
-        ctx.note_lease(&held.subject.to_string(), None);
-        log::info!(target: "conductor", lease:% = held.subject; "lease released");
-        start_action(ctx, held, action);
+        ctx.record_lease(&lease.subject.to_string(), None);
+        log::info!(target: "conductor", lease:% = lease.subject; "lease released");
+        start_action(ctx, lease, action);
     }
 }
--- a/crates/shards/src/context.rs
+++ b/crates/shards/src/context.rs
@@ -1,4 +1,4 @@
-//! What all tasks of a keeping box share.
+//! State shared by all tasks of a storage box.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,46 +11,46 @@
 use tokio_util::sync::CancellationToken;
 use wire::peer::{HeldLease, shard_request, shard_response};
 
+use crate::backlog::BacklogTable;
 use crate::copies::OpenCopies;
-use crate::loads::LoadBoard;
+use crate::loads::LoadTable;
 use crate::peers::PeerTable;
-use crate::reports::UsageTold;
-use crate::reward::SecondCalls;
-use crate::work::WorkBoard;
+use crate::reports::UsageSync;
+use crate::reward::HedgeLimiter;
 
-/// Shared by all tasks of a keeping box.
+/// State shared by all tasks of a storage box.
 #[derive(Debug)]
 pub struct ShardContext {
-    /// The box's belief.
+    /// This box's view of the cluster.
     pub view: Arc<NodeView>,
-    /// Its settings.
+    /// Settings of the storage role.
     pub settings: StorageSettings,
-    /// This box as others see it.
+    /// This box as it is registered in the store.
     pub me: StorageBox,
     /// Connections to other boxes.
     pub links: LinkPool,
     /// Copies of logs on this box's disk.
     pub copies: OpenCopies,
-    /// Which boxes are heard.
+    /// Liveness and reported state of the other storage boxes.
     pub peers: PeerTable,
-    /// How much work each model has.
-    pub work: WorkBoard,
-    /// Engines that load by this box's orders.
-    pub loads: LoadBoard,
-    /// How many reward calls may be made at two targets at once.
-    pub second_calls: SecondCalls,
-    /// What the box that reports use has been told.
-    pub usage_told: UsageTold,
-    /// Set once the box is asked to stop.
+    /// Backlog of each model.
+    pub backlog: BacklogTable,
+    /// Weight loads that this box has ordered.
+    pub loads: LoadTable,
+    /// Limits hedged reward calls.
+    pub hedge_limiter: HedgeLimiter,
+    /// Usage cells that the reporting box has acknowledged.
+    pub usage_sync: UsageSync,
+    /// Cancelled when the box starts to stop.
     pub stopping: CancellationToken,
     retiring: Mutex<HashSet<BoxId>>,
     leases: Mutex<HashMap<String, HeldLease>>,
-    /// Told when others should hear of a lease at once.
-    pub news: Notify,
+    /// Notified when heartbeats should be sent immediately.
+    pub heartbeat_due: Notify,
 }
 
 impl ShardContext {
-    /// The context of a box that has heard nobody yet.
+    /// Creates a context without any known peers.
     pub fn new(
         view: Arc<NodeView>,
         settings: StorageSettings,
@@ -71,71 +71,71 @@
             links,
             copies,
             peers,
-            work: WorkBoard::default(),
-            loads: LoadBoard::default(),
-            second_calls: SecondCalls::default(),
-            usage_told: UsageTold::default(),
+            backlog: BacklogTable::default(),
+            loads: LoadTable::default(),
+            hedge_limiter: HedgeLimiter::default(),
+            usage_sync: UsageSync::default(),
             stopping: CancellationToken::new(),
             retiring: Mutex::default(),
             leases: Mutex::default(),
-            news: Notify::new(),
+            heartbeat_due: Notify::new(),
         }
     }
 
-    /// Boxes that are to be emptied.
+    /// Boxes that are being retired.
     pub fn retiring(&self) -> MutexGuard<'_, HashSet<BoxId>> {
         self.retiring.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether this box gives its duties up.
+    /// Returns whether this box is stopping or being retired.
     pub fn is_leaving(&self) -> bool {
         self.stopping.is_cancelled() || self.retiring().contains(&self.me.box_id)
     }
 
-    /// Whether this box is one of those that beat with each other.
-    pub fn is_at_work(&self) -> bool {
+    /// Returns whether this box is active, i.e. exchanges heartbeats with the other active boxes.
+    pub fn is_active(&self) -> bool {
         self.view.assignments().active_boxes().iter().any(|copy| copy.box_id == self.me.box_id)
     }
 
-    /// Leases that this box holds, as beats tell them.
+    /// Returns the leases held by this box, as reported in heartbeats.
     pub fn held_leases(&self) -> Vec<HeldLease> {
         self.leases.lock().unwrap_or_else(PoisonError::into_inner).values().cloned().collect()
     }
 
-    /// Notes the last write to a lease that this box holds, or that it holds it no more.
-    pub fn note_lease(&self, name: &str, held: Option<HeldLease>) {
+    /// Records the last write to a lease held by this box; `None` when it is no longer held.
+    pub fn record_lease(&self, name: &str, held: Option<HeldLease>) {
         let mut leases = self.leases.lock().unwrap_or_else(PoisonError::into_inner);
         match held {
             Some(held) => leases.insert(name.to_owned(), held),
             None => leases.remove(name),
         };
-        // The sooner others know of a write, the shorter a taker's wait after the last one.
-        self.news.notify_one();
+        // A prompt heartbeat shortens the wait of the next holder.
+        self.heartbeat_due.notify_one();
     }
 
-    /// The token of a shard's plan that names this box, if its disk has no copy of it.
+    /// Returns the token of the shard's plan if the plan names this box and its disk has no copy.
     pub fn lost_copy(&self, shard: ShardIndex) -> Option<FencingToken> {
         let epoch = {
-            let duties = self.view.assignments();
-            let plan = &duties.plan(shard)?.plan;
+            let assignments = self.view.assignments();
+            let plan = &assignments.plan(shard)?.plan;
             plan.rank(&self.me.box_id)?;
             plan.epoch.clone()
         };
         (!self.copies.folder().has(shard, &epoch)).then_some(epoch.token)
     }
 
-    /// The boxes for the other copies of a shard; `None` when there are too few.
+    /// Chooses boxes for the other copies of a shard; `None` when there are too few.
     pub fn choose_copies(&self, shard: ShardIndex) -> Option<Vec<StorageBox>> {
         let now = self.view.now();
         let retiring = self.retiring().clone();
-        let duties = self.view.assignments();
-        let boxes = duties.boxes().filter(|copy| {
+        let assignments = self.view.assignments();
+        let boxes = assignments.boxes().filter(|copy| {
             copy.box_id != self.me.box_id
                 && !retiring.contains(&copy.box_id)
-                && self.peers.is_fit(now, &copy.box_id)
+                && self.peers.can_host_copy(now, &copy.box_id)
         });
         let fit: Vec<StorageBox> = boxes.cloned().collect();
-        let failing = self.peers.failing(now);
+        let failing = self.peers.recently_failed(now);
         let count = self.settings.copies.saturating_sub(1);
         let chosen = choose_healthy_partners(shard, &self.me.domain, &fit, &failing, count);
         if chosen.is_none() {
@@ -144,13 +144,13 @@
         chosen
     }
 
-    /// Asks another keeping box.
-    pub async fn ask(
+    /// Sends a request to another storage box.
+    pub async fn call_box(
         &self,
         address: &str,
-        time: std::time::Duration,
+        timeout: std::time::Duration,
         body: shard_request::Body,
     ) -> Result<shard_response::Body, CallError> {
-        self.links.call_shard_unary(address, time, body).await
+        self.links.call_shard_unary(address, timeout, body).await
     }
 }
--- a/crates/shards/src/copies.rs
+++ b/crates/shards/src/copies.rs
@@ -1,4 +1,4 @@
-//! Copies of other boxes' logs on this box's disk.
+//! Copies of logs on this box's disk.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -7,10 +7,10 @@
 use joblog::{CopyError, CopyFolder, EpochId, LogCopyFile};
 use tokio::task;
 
-/// A copy that takes appends.
+/// A copy that accepts appends.
 pub type OpenCopy = Arc<Mutex<LogCopyFile>>;
 
-/// Does something with a copy where waiting for the disk is allowed; a failure is logged.
+/// Runs a disk operation on the blocking thread pool; logs failures.
 pub async fn on_disk<T: Send + 'static>(
     shard: ShardIndex,
     what: &'static str,
@@ -19,37 +19,37 @@
     match task::spawn_blocking(work).await {
         Ok(Ok(done)) => Some(done),
         Ok(Err(error)) => {
-            log::error!(target: "shard", shard = shard.get(), what = what, error:% = error; "disk failed");
+            log::error!(target: "shard", shard = shard.get(), what = what, error:% = error; "disk operation failed");
             None
         }
         Err(error) => {
-            log::error!(target: "shard", shard = shard.get(), what = what, error:% = error; "disk failed");
+            log::error!(target: "shard", shard = shard.get(), what = what, error:% = error; "disk operation failed");
             None
         }
     }
 }
 
-/// The copies of this box, and which of them take appends.
+/// The copies of this box, and which of them accept appends.
 #[derive(Debug, Clone)]
 pub struct OpenCopies {
     folder: CopyFolder,
     open: Arc<Mutex<HashMap<(ShardIndex, EpochId), OpenCopy>>>,
-    /// Copies on their way here, which take no appends yet.
-    coming: Arc<Mutex<HashMap<(ShardIndex, EpochId), OpenCopy>>>,
+    /// Copies still being received; they accept no appends yet.
+    receiving: Arc<Mutex<HashMap<(ShardIndex, EpochId), OpenCopy>>>,
 }
 
 impl OpenCopies {
-    /// The copies in `folder`; after a start none of them takes appends.
+    /// Wraps `folder`; no copy accepts appends initially.
     pub fn new(folder: CopyFolder) -> Self {
-        Self { folder, open: Arc::default(), coming: Arc::default() }
+        Self { folder, open: Arc::default(), receiving: Arc::default() }
     }
 
-    /// The folder.
+    /// Returns the folder.
     pub const fn folder(&self) -> &CopyFolder {
         &self.folder
     }
 
-    /// Appends to an open copy and waits for the disk. `None` when the epoch is not open here.
+    /// Appends to an open copy and syncs it. `None` when the epoch is not open here.
     pub async fn append(
         &self,
         shard: ShardIndex,
@@ -77,12 +77,13 @@
         let result = appended
             .await
             .unwrap_or_else(|error| Err(CopyError::Io(std::io::Error::other(error.to_string()))));
-        // Closed meanwhile: whoever closed it has read it without this record, perhaps.
+        // If the copy was closed meanwhile, a takeover may have read it without this record.
         let still_open = open.lock().unwrap_or_else(PoisonError::into_inner).contains_key(&key);
         still_open.then_some(result)
     }
 
-    /// Begins a copy, or goes on with it; opens it for appends after the last piece.
+    /// Starts a copy with the first piece or continues it; opens it for appends after the last
+    /// one.
     pub async fn receive(
         &self,
         shard: ShardIndex,
@@ -92,16 +93,16 @@
         records: Vec<u8>,
     ) -> Option<Result<u64, CopyError>> {
         let key = (shard, epoch.clone());
-        let (folder, coming) = (self.folder.clone(), Arc::clone(&self.coming));
+        let (folder, receiving) = (self.folder.clone(), Arc::clone(&self.receiving));
         let open = Arc::clone(&self.open);
         let received = task::spawn_blocking(move || {
             let copy = if first {
                 let file = folder.create(shard, &epoch)?;
                 let copy: OpenCopy = Arc::new(Mutex::new(file));
-                lock(&coming).insert(key.clone(), Arc::clone(&copy));
+                lock(&receiving).insert(key.clone(), Arc::clone(&copy));
                 Some(copy)
             } else {
-                lock(&coming).get(&key).cloned()
+                lock(&receiving).get(&key).cloned()
             };
             let Some(copy) = copy else { return Ok(None) };
             let mut file = lock(&copy);
@@ -111,7 +112,7 @@
             if last {
                 file.sync()?;
                 drop(file);
-                lock(&coming).remove(&key);
+                lock(&receiving).remove(&key);
                 lock(&open).insert(key, copy);
             }
             Ok(Some(len))
@@ -124,18 +125,19 @@
         }
     }
 
-    /// Closes a copy: no append under its epoch is taken from here on. Waits for one under way.
+    /// Closes a copy: it accepts no more appends. Waits for an append in flight.
     pub async fn close(&self, shard: ShardIndex, epoch: &EpochId) {
         let copy = lock(&self.open).remove(&(shard, epoch.clone()));
         let Some(copy) = copy else { return };
-        // An append under way holds the file; after it the file is as it stays.
+        // An append in flight holds the file lock.
         let waited = task::spawn_blocking(move || drop(lock(&copy)));
         if let Err(error) = waited.await {
-            log::warn!(target: "shard", error:% = error; "append ended badly");
+            log::warn!(target: "shard", error:% = error; "waiting for an append failed");
         }
     }
 
-    /// Removes copies of a shard with a token lower than `keep`'s, and others of its token.
+    /// Removes copies of a shard with a lower token than `keep`'s, and other epochs with the same
+    /// token.
     pub async fn clean(&self, shard: ShardIndex, keep: EpochId) {
         let (folder, open) = (self.folder.clone(), Arc::clone(&self.open));
         let cleaned = on_disk(shard, "remove old copies", move || {
@@ -147,7 +149,7 @@
             }
             Ok(())
         });
-        // What stays is removed with the next epoch.
+        // Remaining copies are removed with the next epoch.
         let _logged = cleaned.await;
     }
 }
--- a/crates/shards/src/copying.rs
+++ b/crates/shards/src/copying.rs
@@ -1,4 +1,5 @@
-//! Makes the copies of a new epoch: the book as records, piece by piece, on all of its disks.
+//! Writes the copies of a new epoch: streams the job table as records to the disks of all its
+//! boxes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,17 +14,17 @@
 use crate::copies::on_disk;
 use crate::keeper::ShardKeeper;
 
-/// Longest time for a partner to take one piece of a copy.
-const PIECE_TIME: Duration = Duration::from_secs(1);
-/// Bytes of one piece.
+/// Timeout for a partner to accept one piece of a copy.
+const PIECE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Size of one piece, in bytes.
 const PIECE_BYTES: usize = 1 << 20;
 
-/// Where results lie in a copy, by job and position.
-pub type ResultPlaces = Vec<(JobId, u32, RecordLocation)>;
+/// Locations of results in a copy, by job and position.
+pub type ResultLocations = Vec<(JobId, u32, RecordLocation)>;
 
-/// Writes the book to this box's new copy and to the partners', piece by piece, and waits for all
-/// disks. Nothing is applied to the book meanwhile, since the shard is not served.
-pub async fn copy_book(
+/// Writes the job table to this box's new copy and to the partners', and waits until all have
+/// synced it. The table doesn't change meanwhile, since the shard is not served.
+pub async fn copy_jobs(
     ctx: &Arc<ShardContext>,
     keeper: &ShardKeeper,
     epoch: &EpochId,
@@ -34,7 +35,7 @@
     let mut file = None;
     let mut piece = reader.next().await?;
     loop {
-        // The last piece is an empty one, so that the next can be read while this one is sent.
+        // The last piece is empty, so that the next piece can be read while one is sent.
         let copy = LogCopy {
             shard: shard.get(),
             epoch: epoch.to_string(),
@@ -45,12 +46,12 @@
         let own = write_piece(ctx, shard, epoch, file.take(), &copy);
         let sent = join_all(partners.iter().map(|partner| send_piece(ctx, &copy, partner)));
         let (own, sent, following) = tokio::join!(own, sent, reader.next());
-        if !sent.into_iter().all(|taken| taken) {
+        if !sent.into_iter().all(|accepted| accepted) {
             return None;
         }
         let own = own?;
         if copy.last {
-            return Some(NewCopy { file: own, places: reader.places });
+            return Some(NewCopy { file: own, locations: reader.locations });
         }
         file = Some(own);
         let following = following?;
@@ -58,54 +59,54 @@
     }
 }
 
-/// This box's copy of a new epoch, and where the results lie in it.
+/// This box's copy of a new epoch, and the locations of the results in it.
 pub struct NewCopy {
     /// The file.
     pub file: LogCopyFile,
-    /// Places by job and position.
-    pub places: ResultPlaces,
+    /// Locations by job and position.
+    pub locations: ResultLocations,
 }
 
-/// Gives the book as encoded records, piece by piece.
+/// Reads the job table as encoded records, piece by piece.
 struct SnapshotReader<'a> {
     keeper: &'a ShardKeeper,
     cursor: SnapshotCursor,
-    /// Bytes given so far.
-    given: u64,
-    places: ResultPlaces,
+    /// Bytes returned so far.
+    bytes_read: u64,
+    locations: ResultLocations,
 }
 
 impl<'a> SnapshotReader<'a> {
     fn new(keeper: &'a ShardKeeper) -> Self {
-        let cursor = keeper.book().snapshot_cursor();
-        Self { keeper, cursor, given: 0, places: Vec::new() }
+        let cursor = keeper.jobs().snapshot_cursor();
+        Self { keeper, cursor, bytes_read: 0, locations: Vec::new() }
     }
 
-    /// The next piece, empty after the last; `None` when this box's copy cannot be read.
+    /// Returns the next piece, empty after the last; `None` when this box's copy can't be read.
     async fn next(&mut self) -> Option<Vec<u8>> {
-        let piece = self.keeper.book().snapshot_piece(&mut self.cursor, PIECE_BYTES);
+        let piece = self.keeper.jobs().snapshot_piece(&mut self.cursor, PIECE_BYTES);
         let mut records = piece.records;
-        let places = piece.on_disk.iter().map(|(_, place)| *place).collect();
-        let loaded = self.keeper.load(places).await?;
+        let locations = piece.on_disk.iter().map(|(_, location)| *location).collect();
+        let loaded = self.keeper.load(locations).await?;
         for ((index, _), record) in piece.on_disk.into_iter().zip(loaded) {
             records[index] = record;
         }
         let mut bytes = Vec::new();
         for record in &records {
-            let mut place = encode_record(record, &mut bytes);
-            place.offset += self.given;
+            let mut location = encode_record(record, &mut bytes);
+            location.offset += self.bytes_read;
             if let Some(log_record::Body::Listed(listed)) = &record.body
                 && let Ok(job) = listed.job.parse()
             {
-                self.places.push((job, listed.position, place));
+                self.locations.push((job, listed.position, location));
             }
         }
-        self.given += bytes.len() as u64;
+        self.bytes_read += bytes.len() as u64;
         Some(bytes)
     }
 }
 
-/// Writes a piece to this box's own copy; the last one is synced.
+/// Writes a piece to this box's own copy; syncs the last one.
 async fn write_piece(
     ctx: &ShardContext,
     shard: ShardIndex,
@@ -132,15 +133,15 @@
 
 async fn send_piece(ctx: &ShardContext, copy: &LogCopy, partner: &StorageBox) -> bool {
     let body = shard_request::Body::Copy(copy.clone());
-    let answer = ctx.ask(&partner.address, PIECE_TIME, body).await;
-    let taken = matches!(answer, Ok(shard_response::Body::Synced(_)));
-    if !taken {
-        ctx.peers.failed(ctx.view.now(), &partner.box_id);
+    let response = ctx.call_box(&partner.address, PIECE_TIMEOUT, body).await;
+    let accepted = matches!(response, Ok(shard_response::Body::Synced(_)));
+    if !accepted {
+        ctx.peers.record_failure(ctx.view.now(), &partner.box_id);
         log::warn!(
             target: "shard", shard = copy.shard, epoch = copy.epoch.as_str(),
             peer:% = partner.box_id;
-            "partner did not take the copy"
+            "partner did not accept the copy"
         );
     }
-    taken
+    accepted
 }
--- a/crates/shards/src/dispatch.rs
+++ b/crates/shards/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Starts items of a served shard at targets, and lists what is done.
+//! Starts items of a served shard at targets, and records their results.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,65 +16,65 @@
 use crate::reward::call_reward;
 use crate::run::run_item;
 
-/// Longest pause between two looks at the items, should no change tell.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
-/// How often given-up items and old jobs are looked for.
-const SWEEP_EVERY: Duration = Duration::from_secs(1);
+/// Maximum interval between two passes over the items if no change is notified.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval of the sweep for abandoned items and expired jobs.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Runs are broken off once this box has had no proof of its shard for so long: another box has
-/// most likely taken it over, and runs the same items.
-const RUN_TRUST: Duration = Duration::from_millis(2_500);
+/// Runs are cancelled after this time without a confirmation of the shard: another box has
+/// probably taken it over and runs the same items.
+const RUN_CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// What is done with an item next.
+/// The next step of an item.
 enum NextStep {
-    /// It runs at a target.
+    /// Run at a target.
     Run(SlotGuard),
-    /// Its text is whole: only the reward call is missing.
+    /// The text is complete; only the reward call is missing.
     Reward,
 }
 
-/// Starts items for as long as the box runs.
+/// Starts ready items of the shard for as long as the box runs.
 pub async fn dispatch_items(ctx: Arc<ShardContext>, keeper: Arc<ShardKeeper>) {
     let mut changes = keeper.changes();
-    let mut beliefs = ctx.view.changes();
-    let mut swept = time::Instant::now();
-    let mut proven = time::Instant::now();
+    let mut view_changes = ctx.view.changes();
+    let mut swept_at = time::Instant::now();
+    let mut confirmed_at = time::Instant::now();
     loop {
-        if keeper.is_proven() {
-            proven = time::Instant::now();
+        if keeper.is_confirmed() {
+            confirmed_at = time::Instant::now();
             start_items(&ctx, &keeper);
-            if swept.elapsed() >= SWEEP_EVERY {
-                swept = time::Instant::now();
+            if swept_at.elapsed() >= SWEEP_INTERVAL {
+                swept_at = time::Instant::now();
                 sweep(&ctx, &keeper);
             }
-        } else if proven.elapsed() >= RUN_TRUST {
+        } else if confirmed_at.elapsed() >= RUN_CONFIRMATION_TIMEOUT {
             keeper.cancel_all_runs();
         }
         tokio::select! {
             _ = changes.changed() => {}
-            _ = beliefs.changed() => {}
-            () = time::sleep(LOOK_EVERY) => {}
+            _ = view_changes.changed() => {}
+            () = time::sleep(POLL_INTERVAL) => {}
         }
     }
 }
 
 fn sweep(ctx: &ShardContext, keeper: &ShardKeeper) {
-    give_up(ctx, keeper);
-    let dropped = keeper.book().expire(ctx.view.now());
-    keeper.log(dropped);
+    list_abandoned(ctx, keeper);
+    let dropped = keeper.jobs().expire(ctx.view.now());
+    keeper.append(dropped);
 }
 
-/// Lists items as lost that are not to be tried again.
-fn give_up(ctx: &ShardContext, keeper: &ShardKeeper) {
-    let lost = keeper.book().give_up(ctx.view.now());
+/// Lists items as lost that must not be retried.
+fn list_abandoned(ctx: &ShardContext, keeper: &ShardKeeper) {
+    let lost = keeper.jobs().give_up(ctx.view.now());
     for (record, why) in &lost {
         let (job, item) = listed_ids(record);
         log::info!(target: "jobs", shard = keeper.shard().get(), job = job, item = item, why:% = why; "item given up");
     }
-    keeper.log(lost.into_iter().map(|(record, _)| record).collect());
+    keeper.append(lost.into_iter().map(|(record, _)| record).collect());
 }
 
-/// The job and the item of a record that lists a result.
+/// Returns the job and the item of a record that lists a result.
 fn listed_ids(record: &LogRecord) -> (&str, &str) {
     let Some(log_record::Body::Listed(listed)) = &record.body else { return ("", "") };
     let item = listed.result.as_ref().map_or("", |result| result.item.as_str());
@@ -84,7 +84,7 @@
 fn start_items(ctx: &Arc<ShardContext>, keeper: &Arc<ShardKeeper>) {
     let now = ctx.view.now();
     let mut starts = Vec::new();
-    keeper.book().start_ready(now, |spec| {
+    keeper.jobs().start_ready(now, |spec| {
         let step = next_step(ctx, keeper.shard(), &spec)?;
         let target = match &step {
             NextStep::Run(slot) => Some(slot.slot().instance.clone()),
@@ -105,13 +105,13 @@
                         () = token.cancelled() => cancelled(),
                     };
                     drop(slot);
-                    keeper.log(spec.unlogged_progress(&run).into_iter().collect());
-                    let whole = keeper.book().run_ended(ctx.view.now(), &spec, &run);
+                    keeper.append(spec.unlogged_progress(&run).into_iter().collect());
+                    let complete = keeper.jobs().run_ended(ctx.view.now(), &spec, &run);
                     if matches!(run.outcome, RunOutcome::Failed | RunOutcome::Impossible) {
-                        give_up(&ctx, &keeper);
+                        list_abandoned(&ctx, &keeper);
                     }
                     keeper.wake();
-                    whole
+                    complete
                 }
             };
             if step {
@@ -128,7 +128,7 @@
     RunResult { outcome: RunOutcome::Cut, events: Vec::new(), logged: 0 }
 }
 
-/// A target for the item, or the reward call; or why the item has to wait.
+/// Returns the next step of an item, or why the item is blocked.
 fn next_step(
     ctx: &ShardContext,
     shard: ShardIndex,
@@ -142,32 +142,32 @@
     }
     let service = item_service(ctx, spec).ok_or(BlockReason::NoRoute)?;
     let work = spec_work(spec);
-    let WorkAdmission::Open(barred) = ctx.view.admit_work(work, &service, true) else {
+    let WorkAdmission::Open(excluded) = ctx.view.admit_work(work, &service, true) else {
         return Err(BlockReason::Quarantined);
     };
     let anti_affinity = ctx.view.suspects().anti_affinity(work);
     let model: Option<ModelName> = spec.job.model.parse().ok();
     let floor = ModelVersion::new(spec.job.min_version);
-    let need = TargetRequirements {
+    let requirements = TargetRequirements {
         model: model.as_ref().map(|model| (model, floor)),
         free_slot: true,
         fast: true,
         sender: Some(ColdSender { shard, shards: ctx.view.shards().unwrap_or(1) }),
-        avoid: &barred,
+        avoid: &excluded,
     };
     let now = ctx.view.now();
     let mut rng = rand::rng();
-    let mut board = ctx.view.target_table();
-    // Apart from other work under suspicion where that is possible.
-    let apart = [barred.as_slice(), anti_affinity.targets.as_slice()].concat();
-    let apart = TargetRequirements { avoid: &apart, ..need };
-    let slot = board.choose(now, &service, &apart, &mut rng);
-    let slot = slot.or_else(|| board.choose(now, &service, &need, &mut rng));
+    let mut targets = ctx.view.target_table();
+    // Prefer targets that run no other suspect work.
+    let preferred = [excluded.as_slice(), anti_affinity.targets.as_slice()].concat();
+    let preferred = TargetRequirements { avoid: &preferred, ..requirements };
+    let slot = targets.choose(now, &service, &preferred, &mut rng);
+    let slot = slot.or_else(|| targets.choose(now, &service, &requirements, &mut rng));
     if let Some(slot) = slot {
-        drop(board);
+        drop(targets);
         return Ok(NextStep::Run(SlotGuard::new(&ctx.view, work, slot)));
     }
-    Err(match board.no_target_reason(now, &service, &need, &mut rng) {
+    Err(match targets.no_target_reason(now, &service, &requirements, &mut rng) {
         NoTargetReason::OldVersion => BlockReason::OldWeights,
         NoTargetReason::Loading => BlockReason::Loading,
         NoTargetReason::BackedOff => BlockReason::BackedOff,
@@ -184,7 +184,7 @@
     item_work(&spec.job.host, path, id, body)
 }
 
-/// The service that the configuration in force names for an item.
+/// Returns the service that the current configuration names for an item.
 fn item_service(ctx: &ShardContext, spec: &RunSpec) -> Option<ServiceName> {
     let table = ctx.view.table();
     let route = table.find(&spec.job.host, &spec.request()?.path)?;
@@ -192,19 +192,19 @@
 }
 
 async fn reward_item(ctx: &Arc<ShardContext>, keeper: &Arc<ShardKeeper>, spec: &RunSpec) {
-    let known = keeper.book().cached_score(&spec.item);
+    let cached = keeper.jobs().cached_score(&spec.item);
     let reward = spec.request().and_then(|request| request.reward.as_ref());
-    let end = match (known, reward) {
+    let outcome = match (cached, reward) {
         (Some(score), _) => RewardOutcome::Scored(score),
         (None, None) => RewardOutcome::Scored(String::new()),
         (None, Some(reward)) => call_reward(ctx, reward).await,
     };
-    let failed = matches!(end, RewardOutcome::Failed { .. });
-    let record = keeper.book().scored(ctx.view.now(), &spec.item, end);
-    keeper.log(record.into_iter().collect());
+    let failed = matches!(outcome, RewardOutcome::Failed { .. });
+    let record = keeper.jobs().scored(ctx.view.now(), &spec.item, outcome);
+    keeper.append(record.into_iter().collect());
     if failed {
-        // At the last failure the trainer need not wait for the next look.
-        give_up(ctx, keeper);
+        // After the last failure, list the result without waiting for the next sweep.
+        list_abandoned(ctx, keeper);
     }
     keeper.wake();
 }
--- a/crates/shards/src/handler.rs
+++ b/crates/shards/src/handler.rs
@@ -1,4 +1,4 @@
-//! Answers other boxes: entry boxes about jobs, keeping boxes about logs.
+//! Handles requests of other boxes: of entry boxes about jobs, of storage boxes about logs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,44 +17,46 @@
     shard_request, shard_response,
 };
 
-use crate::account::log_account;
 use crate::context::ShardContext;
 use crate::keeper::ShardKeeper;
 use crate::keepers::KeeperSet;
-use crate::loads::hear_loads;
-use crate::peers::{own_beat, take_beat};
+use crate::loads::apply_loads;
+use crate::peers::{handle_peer_heartbeat, local_heartbeat};
+use crate::timings::log_timings;
 
-/// Longest wait for the log when a call changes something.
-const LOG_TIME: Duration = Duration::from_millis(2_500);
-/// Bytes of text in one piece of a page.
+/// Timeout for appending a change to the log.
+const LOG_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Target size of one piece of a page, in bytes of text.
 const PIECE_BYTES: usize = 32 << 10;
-/// Longest wait of a read.
-const MOST_WAIT: Duration = Duration::from_secs(1);
+/// Maximum wait of a read.
+const MAX_READ_WAIT: Duration = Duration::from_secs(1);
 
-/// Answers other boxes.
+/// Handles requests of other boxes.
 #[derive(Debug, Clone)]
 pub struct ShardHandler {
     ctx: Arc<ShardContext>,
     keepers: Arc<KeeperSet>,
 }
 
-type Answered = Result<shard_response::Body, Refused>;
+type HandlerResult = Result<shard_response::Body, Refused>;
 
 impl PeerHandler for ShardHandler {
     async fn request(&self, request: Request, mut sink: ResponseSink, cancel: CancellationToken) {
-        let Some(request::Body::Shard(asked)) = request.body else {
-            return sink.refuse(wrong("this box keeps shards of jobs: ask an entry box")).await;
+        let Some(request::Body::Shard(query)) = request.body else {
+            return sink
+                .refuse(bad_request("this box keeps shards of jobs: ask an entry box"))
+                .await;
         };
-        let Some(body) = asked.body else {
-            return sink.refuse(wrong("the request is empty: send one of its kinds")).await;
+        let Some(body) = query.body else {
+            return sink.refuse(bad_request("the request is empty: send one of its kinds")).await;
         };
-        let answered = tokio::select! {
-            answered = self.answer(body) => answered,
+        let result = tokio::select! {
+            result = self.handle(body) => result,
             () = cancel.cancelled() => return,
         };
-        match answered {
+        match result {
             Ok(shard_response::Body::Page(page)) => {
-                for piece in page_pieces(page) {
+                for piece in split_page(page) {
                     let body = shard_response::Body::Page(piece);
                     if !sink.item(shard_item(body)).await {
                         return;
@@ -71,16 +73,16 @@
         }
     }
 
-    async fn handle_heartbeat(&self, _beat: BoxHeartbeat) {}
+    async fn handle_heartbeat(&self, _heartbeat: BoxHeartbeat) {}
 }
 
 fn shard_item(body: shard_response::Body) -> ResponseItem {
     ResponseItem { body: Some(response_item::Body::Shard(ShardResponse { body: Some(body) })) }
 }
 
-/// A page in pieces of some [`PIECE_BYTES`], the first one even if it holds no result: a
-/// connection's buffers stay as large as the largest frame that it has passed.
-fn page_pieces(page: JobPage) -> Vec<JobPage> {
+/// Splits a page into pieces of about [`PIECE_BYTES`]; the first one may be empty. Small frames
+/// keep the buffers of a connection small.
+fn split_page(page: JobPage) -> Vec<JobPage> {
     let total = page.total;
     let mut pieces = vec![JobPage { total, results: Vec::new() }];
     let mut bytes = 0;
@@ -106,26 +108,26 @@
     }
 }
 
-fn wrong(message: &str) -> Refused {
+fn bad_request(message: &str) -> Refused {
     refused(RefusedKind::BadRequest, "", message)
 }
 
-fn not_kept() -> Refused {
+fn not_served() -> Refused {
     refused(RefusedKind::NotKept, "", "this box does not serve the shard: ask the one that does")
 }
 
-fn not_known() -> Refused {
+fn job_not_found() -> Refused {
     refused(RefusedKind::BadRequest, reason::NO_JOB, "no such job is held: check its id")
 }
 
-/// Whether a shard holds a job, by what is in memory.
-fn holds(keeper: &ShardKeeper, job: &str) -> bool {
-    job.parse().is_ok_and(|id| keeper.book().contains(&id))
+/// Returns whether the in-memory job table of a shard contains a job.
+fn has_job(keeper: &ShardKeeper, job: &str) -> bool {
+    job.parse().is_ok_and(|id| keeper.jobs().contains(&id))
 }
 
-/// The answer to a job that is held under `id`, perhaps as another customer's.
-fn accepted(keeper: &ShardKeeper, id: &JobId, customer: &str, known: bool) -> Answered {
-    if !keeper.book().belongs_to_other_customer(id, customer) {
+/// Returns the response to a submitted job whose id is present, possibly under another customer.
+fn submit_response(keeper: &ShardKeeper, id: &JobId, customer: &str, known: bool) -> HandlerResult {
+    if !keeper.jobs().belongs_to_other_customer(id, customer) {
         return Ok(shard_response::Body::Accepted(JobAccepted { known }));
     }
     log::warn!(target: "jobs", job:% = id, customer = customer, outcome = "id taken"; "job refused");
@@ -133,52 +135,52 @@
     Err(refused(RefusedKind::Conflict, reason::TAKEN, message))
 }
 
-fn unsure() -> Refused {
+fn outcome_unknown() -> Refused {
     let message = "the log has ended meanwhile, it may be kept: ask again under the same id";
     refused(RefusedKind::Unknown, "", message)
 }
 
 impl ShardHandler {
-    /// A handler for the shards of this box.
+    /// Creates a handler for the shards of this box.
     pub const fn new(ctx: Arc<ShardContext>, keepers: Arc<KeeperSet>) -> Self {
         Self { ctx, keepers }
     }
 
     fn keeper(&self, shard: u32) -> Result<&Arc<ShardKeeper>, Refused> {
         if self.keepers.all().is_empty() {
-            // It has not heard yet how many there are.
-            return Err(not_kept());
+            // The shard count is not agreed yet.
+            return Err(not_served());
         }
         let message = "there is no such shard: give all boxes the same number of shards";
-        self.keepers.get(ShardIndex::new(shard)).ok_or_else(|| wrong(message))
+        self.keepers.get(ShardIndex::new(shard)).ok_or_else(|| bad_request(message))
     }
 
     fn served(&self, shard: u32) -> Result<&Arc<ShardKeeper>, Refused> {
         let keeper = self.keeper(shard)?;
-        if keeper.is_proven() { Ok(keeper) } else { Err(not_kept()) }
+        if keeper.is_confirmed() { Ok(keeper) } else { Err(not_served()) }
     }
 
-    async fn answer(&self, body: shard_request::Body) -> Answered {
+    async fn handle(&self, body: shard_request::Body) -> HandlerResult {
         match body {
             shard_request::Body::Submit(submit) => match submit.job {
                 Some(job) => self.submit(submit.shard, job).await,
-                None => Err(wrong("the job is missing: send it")),
+                None => Err(bad_request("the job is missing: send it")),
             },
             shard_request::Body::Read(read) => self.read(read).await,
-            shard_request::Body::ItemBodyRead(asked) => self.item_body(&asked).await,
+            shard_request::Body::ItemBodyRead(query) => self.item_body(&query).await,
             shard_request::Body::End(end) => self.end(&end).await,
             shard_request::Body::Append(append) => self.append(append).await,
             shard_request::Body::Copy(copy) => self.copy(copy).await,
-            shard_request::Body::Heartbeat(beat) => {
-                take_beat(&self.ctx, &beat);
-                self.hear_loads(&beat.loads);
-                Ok(shard_response::Body::Heartbeat(own_beat(&self.ctx, self.keepers.all())))
+            shard_request::Body::Heartbeat(heartbeat) => {
+                handle_peer_heartbeat(&self.ctx, &heartbeat);
+                self.apply_loads(&heartbeat.loads);
+                Ok(shard_response::Body::Heartbeat(local_heartbeat(&self.ctx, self.keepers.all())))
             }
             shard_request::Body::HandOver(hand_over) => self.hand_over(&hand_over),
-            shard_request::Body::Served(asked) => {
-                let keeper = self.served(asked.shard)?;
-                if !asked.job.is_empty() && !holds(keeper, &asked.job) {
-                    return Err(not_known());
+            shard_request::Body::Served(query) => {
+                let keeper = self.served(query.shard)?;
+                if !query.job.is_empty() && !has_job(keeper, &query.job) {
+                    return Err(job_not_found());
                 }
                 Ok(shard_response::Body::Synced(LogSynced::default()))
             }
@@ -188,25 +190,26 @@
         }
     }
 
-    fn hear_loads(&self, loads: &[WeightLoad]) {
+    fn apply_loads(&self, loads: &[WeightLoad]) {
         if loads.is_empty() {
             return;
         }
         let view = &self.ctx.view;
-        hear_loads(&mut view.target_table(), view.now(), loads);
+        apply_loads(&mut view.target_table(), view.now(), loads);
         // Items may be waiting for these engines.
         view.wake();
     }
 
-    async fn submit(&self, shard: u32, job: Job) -> Answered {
+    async fn submit(&self, shard: u32, job: Job) -> HandlerResult {
         let keeper = self.served(shard)?;
-        let id: JobId = job.id.parse().map_err(|_fault| wrong("the job's id is not an id"))?;
-        if keeper.book().contains(&id) {
-            return accepted(keeper, &id, &job.customer, true);
+        let id: JobId =
+            job.id.parse().map_err(|_error| bad_request("the job's id is not an id"))?;
+        if keeper.jobs().contains(&id) {
+            return submit_response(keeper, &id, &job.customer, true);
         }
         let bytes: usize = job.items.iter().map(|item| item.body.len()).sum();
-        // One limit for all shards: any box may come to serve each of them.
-        let held: usize = self.keepers.all().iter().map(|keeper| keeper.book().bytes()).sum();
+        // The limit covers all shards of the box, since it may come to serve any of them.
+        let held: usize = self.keepers.all().iter().map(|keeper| keeper.jobs().bytes()).sum();
         if held + bytes > self.ctx.settings.job_bytes {
             let message = "the shard holds as much as it may: send the job later";
             return Err(refused(RefusedKind::NotRun, reason::FULL, message));
@@ -214,55 +217,55 @@
         let (items, min_version, customer) =
             (job.items.len(), job.min_version, job.customer.clone());
         let record = LogRecord { body: Some(log_record::Body::Accepted(job)) };
-        let logged = log_in_time(keeper, vec![record]).await;
+        let logged = append_with_timeout(keeper, vec![record]).await;
         log::info!(
             target: "jobs", job:% = id, shard = shard, items = items, min_version = min_version,
             outcome = if logged.is_ok() { "accepted" } else { "unknown" };
-            "job taken"
+            "job submitted"
         );
         logged?;
-        accepted(keeper, &id, &customer, false)
+        submit_response(keeper, &id, &customer, false)
     }
 
-    async fn read(&self, read: JobRead) -> Answered {
+    async fn read(&self, read: JobRead) -> HandlerResult {
         let keeper = self.served(read.shard)?;
-        let id: JobId = read.job.parse().map_err(|_fault| not_known())?;
-        let wait = Duration::from_millis(u64::from(read.wait_ms)).min(MOST_WAIT);
+        let id: JobId = read.job.parse().map_err(|_error| job_not_found())?;
+        let wait = Duration::from_millis(u64::from(read.wait_ms)).min(MAX_READ_WAIT);
         let until = Instant::now() + wait;
-        let most = usize::try_from(read.max_bytes).unwrap_or(usize::MAX);
+        let max_bytes = usize::try_from(read.max_bytes).unwrap_or(usize::MAX);
         let mut changes = keeper.changes();
         loop {
-            if !keeper.book().may_ask(&id, &read.customer) {
-                return Err(self.surely_unknown(keeper).await);
+            if !keeper.jobs().may_ask(&id, &read.customer) {
+                return Err(self.confirm_job_not_found(keeper).await);
             }
-            let page = keeper.book().page(&id, read.from, most);
+            let page = keeper.jobs().page(&id, read.from, max_bytes);
             let Some(ResultsPage { page, on_disk }) = page else {
-                return Err(self.surely_unknown(keeper).await);
+                return Err(self.confirm_job_not_found(keeper).await);
             };
-            let whole = u32::try_from(page.results.len()).unwrap_or(u32::MAX);
-            let more = read.from.saturating_add(whole) < page.total;
+            let count = u32::try_from(page.results.len()).unwrap_or(u32::MAX);
+            let more = read.from.saturating_add(count) < page.total;
             if !page.results.is_empty() || !more || Instant::now() >= until {
-                let answered = Self::page(keeper, page, on_disk).await;
-                if answered.is_ok() {
-                    let until = read.from.saturating_add(whole);
-                    keeper.book().record_read(self.ctx.view.now(), &id, until);
+                let result = Self::complete_page(keeper, page, on_disk).await;
+                if result.is_ok() {
+                    let until = read.from.saturating_add(count);
+                    keeper.jobs().record_read(self.ctx.view.now(), &id, until);
                 }
-                return answered;
+                return result;
             }
-            // Whether it changed or the time is over, the page is looked at once more.
+            // Checks the page again after a change and after the timeout.
             let _elapsed = time::timeout_at(until, changes.changed()).await;
         }
     }
 
-    /// A page may be shown only while this box surely serves the shard. Texts that are not held
-    /// are read back.
-    async fn page(
+    /// Completes a page with texts read back from disk. The page is returned only if the shard is
+    /// still confirmed afterwards.
+    async fn complete_page(
         keeper: &ShardKeeper,
         mut page: JobPage,
         on_disk: Vec<(usize, RecordLocation)>,
-    ) -> Answered {
-        let places = on_disk.iter().map(|(_, place)| *place).collect();
-        let Some(records) = keeper.load(places).await else { return Err(not_kept()) };
+    ) -> HandlerResult {
+        let locations = on_disk.iter().map(|(_, location)| *location).collect();
+        let Some(records) = keeper.load(locations).await else { return Err(not_served()) };
         for ((index, _), record) in on_disk.into_iter().zip(records) {
             match record.body {
                 Some(log_record::Body::Listed(ListedResult { result: Some(result), .. }))
@@ -270,53 +273,55 @@
                 {
                     page.results[index] = result;
                 }
-                // The copy was replaced meanwhile: whoever serves the shard now knows better.
-                _ => return Err(not_kept()),
+                // The copy was replaced meanwhile; the caller has to query the shard's current
+                // server.
+                _ => return Err(not_served()),
             }
         }
-        if keeper.is_proven() { Ok(shard_response::Body::Page(page)) } else { Err(not_kept()) }
+        if keeper.is_confirmed() { Ok(shard_response::Body::Page(page)) } else { Err(not_served()) }
     }
 
-    /// The refusal for a job that is not held, once it is certain that no other box has taken it.
-    async fn surely_unknown(&self, keeper: &ShardKeeper) -> Refused {
-        match log_in_time(keeper, Vec::new()).await {
-            Ok(()) => not_known(),
-            Err(_unsure) => not_kept(),
+    /// Returns the refusal for an unknown job, after a confirmation that this box still serves the
+    /// shard.
+    async fn confirm_job_not_found(&self, keeper: &ShardKeeper) -> Refused {
+        match append_with_timeout(keeper, Vec::new()).await {
+            Ok(()) => job_not_found(),
+            Err(_unknown) => not_served(),
         }
     }
 
-    async fn item_body(&self, asked: &ItemBodyRead) -> Answered {
-        let keeper = self.served(asked.shard)?;
-        let id: JobId = asked.job.parse().map_err(|_fault| not_known())?;
-        let (known, body) = {
-            let book = keeper.book();
-            let known = book.may_ask(&id, &asked.customer);
-            (known, book.body(&id, &asked.item).filter(|_| known))
+    async fn item_body(&self, query: &ItemBodyRead) -> HandlerResult {
+        let keeper = self.served(query.shard)?;
+        let id: JobId = query.job.parse().map_err(|_error| job_not_found())?;
+        let (may_read, body) = {
+            let jobs = keeper.jobs();
+            let may_read = jobs.may_ask(&id, &query.customer);
+            (may_read, jobs.body(&id, &query.item).filter(|_| may_read))
         };
         match body {
             Some(body) => Ok(shard_response::Body::Bytes(ItemBody { body })),
-            None if known => {
+            None if may_read => {
                 let message = "the job has no such item: check its id";
                 Err(refused(RefusedKind::BadRequest, reason::NO_ITEM, message))
             }
-            None => Err(self.surely_unknown(keeper).await),
+            None => Err(self.confirm_job_not_found(keeper).await),
         }
     }
 
-    async fn end(&self, end: &JobEnd) -> Answered {
+    async fn end(&self, end: &JobEnd) -> HandlerResult {
         let keeper = self.served(end.shard)?;
-        let id: JobId = end.job.parse().map_err(|_fault| not_known())?;
-        if !keeper.book().may_ask(&id, &end.customer) {
-            return Err(self.surely_unknown(keeper).await);
+        let id: JobId = end.job.parse().map_err(|_error| job_not_found())?;
+        if !keeper.jobs().may_ask(&id, &end.customer) {
+            return Err(self.confirm_job_not_found(keeper).await);
         }
-        let account = keeper.book().finish_timings(self.ctx.view.now(), &id);
-        let records = keeper.book().end(&id);
+        let timings = keeper.jobs().finish_timings(self.ctx.view.now(), &id);
+        let records = keeper.jobs().end(&id);
         keeper.cancel_runs(&id);
-        if let Some(account) = account.filter(|_| records.is_some()) {
-            log_account(keeper, &id, &account);
+        if let Some(timings) = timings.filter(|_| records.is_some()) {
+            log_timings(keeper, &id, &timings);
         }
-        // Without a record this waits for an end that is under way.
-        let logged = log_in_time(keeper, records.into_iter().collect()).await;
+        // Without a record this waits for an append of the same end that is in flight.
+        let logged = append_with_timeout(keeper, records.into_iter().collect()).await;
         log::info!(
             target: "jobs", job:% = id, shard = end.shard,
             outcome = if logged.is_ok() { "ended" } else { "unknown" };
@@ -326,14 +331,14 @@
         Ok(shard_response::Body::Ended(JobEnded {}))
     }
 
-    async fn append(&self, append: LogAppend) -> Answered {
+    async fn append(&self, append: LogAppend) -> HandlerResult {
         let epoch = parse_epoch(&append.epoch)?;
         let shard = ShardIndex::new(append.shard);
         let appended = self.ctx.copies.append(shard, &epoch, append.offset, append.records).await;
-        synced(appended)
+        synced_response(appended)
     }
 
-    async fn copy(&self, copy: LogCopy) -> Answered {
+    async fn copy(&self, copy: LogCopy) -> HandlerResult {
         let epoch = parse_epoch(&copy.epoch)?;
         let shard = ShardIndex::new(copy.shard);
         if self.ctx.is_leaving() {
@@ -341,23 +346,24 @@
         }
         let received =
             self.ctx.copies.receive(shard, epoch, copy.first, copy.last, copy.records).await;
-        synced(received)
+        synced_response(received)
     }
 
-    fn hand_over(&self, hand_over: &ShardHandOver) -> Answered {
+    fn hand_over(&self, hand_over: &ShardHandOver) -> HandlerResult {
         let keeper = self.keeper(hand_over.shard)?;
-        log::info!(target: "shard", shard = hand_over.shard, token = hand_over.token; "asked to serve");
-        keeper.ask();
+        log::info!(target: "shard", shard = hand_over.shard, token = hand_over.token; "takeover requested");
+        keeper.request_takeover();
         Ok(shard_response::Body::Synced(LogSynced::default()))
     }
 }
 
 fn parse_epoch(text: &str) -> Result<EpochId, Refused> {
-    text.parse()
-        .map_err(|_fault| wrong("the epoch cannot be read: check that all boxes run one release"))
+    text.parse().map_err(|_error| {
+        bad_request("the epoch cannot be read: check that all boxes run one release")
+    })
 }
 
-fn synced(done: Option<Result<u64, CopyError>>) -> Answered {
+fn synced_response(done: Option<Result<u64, CopyError>>) -> HandlerResult {
     match done {
         Some(Ok(length)) => Ok(shard_response::Body::Synced(LogSynced { length })),
         Some(Err(error)) => Err(refused(RefusedKind::Unknown, "disk", &error.to_string())),
@@ -368,9 +374,9 @@
     }
 }
 
-async fn log_in_time(keeper: &ShardKeeper, records: Vec<LogRecord>) -> Result<(), Refused> {
-    match time::timeout(LOG_TIME, keeper.log_and_wait(records)).await {
+async fn append_with_timeout(keeper: &ShardKeeper, records: Vec<LogRecord>) -> Result<(), Refused> {
+    match time::timeout(LOG_TIMEOUT, keeper.append_and_wait(records)).await {
         Ok(Ok(())) => Ok(()),
-        Ok(Err(_)) | Err(_) => Err(unsure()),
+        Ok(Err(_)) | Err(_) => Err(outcome_unknown()),
     }
 }
--- a/crates/shards/src/keeper.rs
+++ b/crates/shards/src/keeper.rs
@@ -1,4 +1,4 @@
-//! One shard on this box: the book of jobs, and whether it is served here.
+//! State of one shard on this box: its job table, and the epoch under which it is served here.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,45 +16,45 @@
 use crate::copies::on_disk;
 use crate::log_writer::LogWork;
 
-/// After this long without a proof that all copies still take appends, another box may serve
-/// the shard: reads are turned away and nothing new is started.
-const PROOF_TRUST: Duration = Duration::from_secs(1);
+/// How long a confirmation is valid. Without a newer one another box may serve the shard, so reads
+/// are refused and no items are started.
+const CONFIRMATION_TTL: Duration = Duration::from_secs(1);
 
 /// The epoch under which this box serves the shard.
 #[derive(Debug, Clone)]
 pub struct ServedEpoch {
     /// The epoch.
     pub epoch: EpochId,
-    /// Work for the log.
+    /// Queue of records to append.
     pub log: mpsc::Sender<LogWork>,
-    /// Ends when the log can take no more.
+    /// Cancelled when the epoch ends.
     pub ended: CancellationToken,
 }
 
-/// Why a record is not on all copies.
+/// The log ended before all copies acknowledged the record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the shard's log has ended before the record was on all copies: it may be kept or not")]
+#[error("the log ended before all copies acknowledged the record; the outcome is unknown")]
 pub struct NotLogged;
 
-/// One shard on this box.
+/// State of one shard on this box.
 #[derive(Debug)]
 pub struct ShardKeeper {
     shard: ShardIndex,
     ctx: Arc<ShardContext>,
-    book: Mutex<JobTable>,
+    jobs: Mutex<JobTable>,
     serving: Mutex<Option<ServedEpoch>>,
-    /// When all copies last took an append, or a proof, under the epoch served.
-    proven_at: Mutex<Option<Moment>>,
-    /// Changes whenever records were applied or an item may start.
+    /// When all copies last acknowledged an append (possibly empty) of the served epoch.
+    confirmed_at: Mutex<Option<Moment>>,
+    /// Incremented when records were applied or an item may start.
     changed: watch::Sender<u64>,
-    /// One for each job whose items run; cancelled when the job ends.
+    /// Cancellation tokens of running items, by job.
     runs: Mutex<HashMap<JobId, CancellationToken>>,
-    /// Set when the shard's server asks this box to go on in its place.
-    asked: Mutex<bool>,
-    /// The epoch whose acknowledged records the book holds.
-    book_epoch: Mutex<Option<EpochId>>,
-    /// Set while new copies are made.
-    forming: AtomicBool,
+    /// Set when the shard's server requests that this box take over.
+    takeover_requested: Mutex<bool>,
+    /// The epoch whose acknowledged records the job table contains.
+    jobs_epoch: Mutex<Option<EpochId>>,
+    /// Set while copies of a new epoch are written.
+    taking_over: AtomicBool,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -62,150 +62,152 @@
 }
 
 impl ShardKeeper {
-    /// A shard that is not served here.
+    /// Creates a shard that is not served here.
     pub fn new(ctx: Arc<ShardContext>, shard: ShardIndex) -> Self {
-        let book = JobTable::new(ctx.settings.retention);
+        let jobs = JobTable::new(ctx.settings.retention);
         Self {
             shard,
             ctx,
-            book: Mutex::new(book),
+            jobs: Mutex::new(jobs),
             serving: Mutex::default(),
-            proven_at: Mutex::default(),
+            confirmed_at: Mutex::default(),
             changed: watch::Sender::new(0),
             runs: Mutex::default(),
-            asked: Mutex::new(false),
-            book_epoch: Mutex::default(),
-            forming: AtomicBool::new(false),
+            takeover_requested: Mutex::new(false),
+            jobs_epoch: Mutex::default(),
+            taking_over: AtomicBool::new(false),
         }
     }
 
-    /// Which shard it is.
+    /// The shard's index.
     pub const fn shard(&self) -> ShardIndex {
         self.shard
     }
 
-    /// The jobs; held only for a moment.
-    pub fn book(&self) -> MutexGuard<'_, JobTable> {
-        lock(&self.book)
+    /// Locks the job table. Don't hold the guard across I/O.
+    pub fn jobs(&self) -> MutexGuard<'_, JobTable> {
+        lock(&self.jobs)
     }
 
-    /// Forgets all jobs and breaks their runs off.
+    /// Drops all jobs and cancels their runs.
     pub fn reset(&self) {
         self.cancel_all_runs();
-        *self.book() = JobTable::new(self.ctx.settings.retention);
-        self.set_book_epoch(None);
+        *self.jobs() = JobTable::new(self.ctx.settings.retention);
+        self.set_jobs_epoch(None);
     }
 
-    /// The epoch whose acknowledged records the book holds.
-    pub fn book_epoch(&self) -> Option<EpochId> {
-        lock(&self.book_epoch).clone()
+    /// The epoch whose acknowledged records the job table contains.
+    pub fn jobs_epoch(&self) -> Option<EpochId> {
+        lock(&self.jobs_epoch).clone()
     }
 
-    /// Notes the epoch whose acknowledged records the book holds.
-    pub fn set_book_epoch(&self, epoch: Option<EpochId>) {
-        *lock(&self.book_epoch) = epoch;
+    /// Sets the epoch whose acknowledged records the job table contains.
+    pub fn set_jobs_epoch(&self, epoch: Option<EpochId>) {
+        *lock(&self.jobs_epoch) = epoch;
     }
 
-    /// Whether new copies are being made, to serve the shard.
-    pub fn is_forming(&self) -> bool {
-        self.forming.load(Ordering::Relaxed)
+    /// Returns whether copies of a new epoch are being written.
+    pub fn is_taking_over(&self) -> bool {
+        self.taking_over.load(Ordering::Relaxed)
     }
 
-    /// Notes that new copies are being made, or no more.
-    pub fn set_forming(&self, forming: bool) {
-        self.forming.store(forming, Ordering::Relaxed);
-        // Other boxes need not try as well.
-        self.ctx.news.notify_one();
+    /// Sets whether copies of a new epoch are being written.
+    pub fn set_taking_over(&self, taking_over: bool) {
+        self.taking_over.store(taking_over, Ordering::Relaxed);
+        // Other boxes skip their own takeover once they learn of this one.
+        self.ctx.heartbeat_due.notify_one();
     }
 
-    /// Begins to serve under an epoch, with the places of results in its copy.
-    pub fn begin(&self, served: ServedEpoch, places: &[(JobId, u32, RecordLocation)]) {
-        *lock(&self.proven_at) = None;
-        self.set_book_epoch(Some(served.epoch.clone()));
-        let mut book = self.book();
-        book.relocate(places);
-        book.resume_appends();
-        drop(book);
+    /// Starts to serve an epoch; `places` are the locations of results in its copy.
+    pub fn start_serving(&self, served: ServedEpoch, locations: &[(JobId, u32, RecordLocation)]) {
+        *lock(&self.confirmed_at) = None;
+        self.set_jobs_epoch(Some(served.epoch.clone()));
+        let mut jobs = self.jobs();
+        jobs.relocate(locations);
+        jobs.resume_appends();
+        drop(jobs);
         *lock(&self.serving) = Some(served);
         self.wake();
     }
 
-    /// Stops serving. `true` when it was served.
-    pub fn end(&self) -> bool {
+    /// Stops serving. Returns whether the shard was served.
+    pub fn stop_serving(&self) -> bool {
         let served = lock(&self.serving).take();
         if let Some(served) = &served {
             served.ended.cancel();
-            self.book().suspend_appends();
+            self.jobs().suspend_appends();
         }
         self.wake();
         served.is_some()
     }
 
-    /// The epoch under which the shard is served here.
+    /// Returns the epoch under which the shard is served here.
     pub fn served(&self) -> Option<ServedEpoch> {
         lock(&self.serving).clone()
     }
 
-    /// The token under which the shard is served here, if that was proven a moment ago.
+    /// Returns the token of the served epoch if it was confirmed recently.
     pub fn served_token(&self) -> Option<FencingToken> {
         let token = self.served()?.epoch.token;
-        let proven_at = (*lock(&self.proven_at))?;
-        (self.ctx.view.now().since(proven_at) < PROOF_TRUST).then_some(token)
+        let confirmed_at = (*lock(&self.confirmed_at))?;
+        (self.ctx.view.now().since(confirmed_at) < CONFIRMATION_TTL).then_some(token)
     }
 
-    /// Whether answers from here are those of the shard's one server.
-    pub fn is_proven(&self) -> bool {
+    /// Returns whether the served epoch was confirmed recently, so that responses are
+    /// authoritative.
+    pub fn is_confirmed(&self) -> bool {
         self.served_token().is_some()
     }
 
-    /// Applies records that are on all copies, each with its place in this box's copy.
+    /// Applies records that all copies acknowledged, with their locations in this box's copy.
     pub fn apply(&self, records: Vec<(LogRecord, RecordLocation)>) {
         let now = self.ctx.view.now();
-        let first = lock(&self.proven_at).replace(now).is_none();
+        let first = lock(&self.confirmed_at).replace(now).is_none();
         if first {
             self.wake();
         }
         if records.is_empty() {
             return;
         }
-        let mut book = self.book();
-        for (record, place) in records {
-            book.apply_at(now, record, Some(place));
+        let mut jobs = self.jobs();
+        for (record, location) in records {
+            jobs.apply_at(now, record, Some(location));
         }
-        let counts = book.counts();
-        drop(book);
+        let counts = jobs.counts();
+        drop(jobs);
         self.ctx.view.metrics.jobs(counts.jobs, counts.waiting, counts.bytes);
         self.wake();
     }
 
-    /// Reads whole records back from this box's copy; `None` when they cannot be read.
-    pub async fn load(&self, places: Vec<RecordLocation>) -> Option<Vec<LogRecord>> {
-        if places.is_empty() {
+    /// Reads full records from this box's copy; `None` when they can't be read.
+    pub async fn load(&self, locations: Vec<RecordLocation>) -> Option<Vec<LogRecord>> {
+        if locations.is_empty() {
             return Some(Vec::new());
         }
         let (folder, shard) = (self.ctx.copies.folder().clone(), self.shard);
-        let epoch = self.book_epoch()?;
-        on_disk(shard, "read results", move || folder.load(shard, &epoch, &places)).await
+        let epoch = self.jobs_epoch()?;
+        on_disk(shard, "read results", move || folder.load(shard, &epoch, &locations)).await
     }
 
-    /// Sends records to the log without waiting. While the shard is not served they are
-    /// forgotten, and the next epoch begins without them.
-    pub fn log(&self, records: Vec<LogRecord>) {
+    /// Queues records for the log without waiting. Drops them while the shard is not served; the
+    /// next epoch starts without them.
+    pub fn append(&self, records: Vec<LogRecord>) {
         if records.is_empty() {
             return;
         }
         let Some(served) = self.served() else { return };
         let work = LogWork { records, done: None };
         if served.log.try_send(work).is_err() {
-            // The queue is bounded far above what a shard's items can fill; if it is full all
-            // the same, the log does not move, and a new epoch lists these items again.
-            log::error!(target: "shard", shard = self.shard.get(); "log queue full, new epoch");
+            // A full queue means that the log is stuck: end the epoch. The next epoch lists these
+            // items again.
+            log::error!(target: "shard", shard = self.shard.get(); "log queue full; ending the epoch");
             served.ended.cancel();
         }
     }
 
-    /// Writes records and waits until they are on all copies; none asks for the proof alone.
-    pub async fn log_and_wait(&self, records: Vec<LogRecord>) -> Result<(), NotLogged> {
+    /// Appends records and waits until all copies acknowledge them. An empty list only requests a
+    /// confirmation.
+    pub async fn append_and_wait(&self, records: Vec<LogRecord>) -> Result<(), NotLogged> {
         let served = self.served().ok_or(NotLogged)?;
         let (done, waiter) = oneshot::channel();
         let work = LogWork { records, done: Some(done) };
@@ -213,52 +215,52 @@
         waiter.await.map_err(|_ended| NotLogged)
     }
 
-    /// Wakes whoever waits for results or for items to start.
+    /// Wakes tasks that wait for results or for items to start.
     pub fn wake(&self) {
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Tells each change.
+    /// Subscribes to changes.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// The token of a job's runs.
+    /// Returns the cancellation token of a job's runs.
     pub fn run_token(&self, job: &JobId) -> CancellationToken {
         lock(&self.runs).entry(job.clone()).or_default().clone()
     }
 
-    /// Breaks off the runs of a job that has ended.
+    /// Cancels the runs of an ended job.
     pub fn cancel_runs(&self, job: &JobId) {
         if let Some(token) = lock(&self.runs).remove(job) {
             token.cancel();
         }
     }
 
-    /// Breaks off the runs of all jobs.
+    /// Cancels the runs of all jobs.
     pub fn cancel_all_runs(&self) {
         let runs: Vec<_> = lock(&self.runs).drain().collect();
         if !runs.is_empty() {
-            log::info!(target: "shard", shard = self.shard.get(), jobs = runs.len(); "runs broken off");
+            log::info!(target: "shard", shard = self.shard.get(), jobs = runs.len(); "runs cancelled");
         }
         for (_, token) in runs {
             token.cancel();
         }
     }
 
-    /// Notes that the shard's server asks this box to go on in its place.
-    pub fn ask(&self) {
-        *lock(&self.asked) = true;
+    /// Records a request of the shard's server that this box take over.
+    pub fn request_takeover(&self) {
+        *lock(&self.takeover_requested) = true;
         self.wake();
     }
 
-    /// Whether it is asked, and has not looked yet.
-    pub fn is_asked(&self) -> bool {
-        *lock(&self.asked)
+    /// Returns whether a takeover request is pending.
+    pub fn is_takeover_requested(&self) -> bool {
+        *lock(&self.takeover_requested)
     }
 
-    /// Whether it was asked, since the last call.
-    pub fn take_asked(&self) -> bool {
-        std::mem::take(&mut *lock(&self.asked))
+    /// Returns and clears the pending takeover request.
+    pub fn take_takeover_request(&self) -> bool {
+        std::mem::take(&mut *lock(&self.takeover_requested))
     }
 }
--- a/crates/shards/src/keepers.rs
+++ b/crates/shards/src/keepers.rs
@@ -1,4 +1,4 @@
-//! The shards of this box, once the boxes have agreed on their number.
+//! The shards of this box, once the shard count is agreed.
 
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
@@ -14,74 +14,75 @@
 use crate::context::ShardContext;
 use crate::keeper::ShardKeeper;
 
-/// How long the first box waits for others before it counts them: all boxes of a deployment start within
-/// a fraction of it, and callers come long after.
-const COUNT_AFTER: Duration = Duration::from_secs(1);
-/// Longest pause between two looks, should no change tell.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+/// How long the first-ranked box waits for others to register before it proposes a shard count.
+/// The boxes of a new deployment start well within this time.
+const COUNT_DELAY: Duration = Duration::from_secs(1);
+/// Maximum interval between two checks if no change is notified.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The shards of this box; none before their number is known.
+/// The shards of this box; empty until the shard count is agreed.
 #[derive(Debug, Default)]
 pub struct KeeperSet(OnceLock<Vec<Arc<ShardKeeper>>>);
 
 impl KeeperSet {
-    /// All shards.
+    /// Returns all shards.
     pub fn all(&self) -> &[Arc<ShardKeeper>] {
         self.0.get().map_or(&[][..], Vec::as_slice)
     }
 
-    /// One shard.
+    /// Returns one shard.
     pub fn get(&self, shard: ShardIndex) -> Option<&Arc<ShardKeeper>> {
         self.all().get(usize::try_from(shard.get()).unwrap_or(usize::MAX))
     }
 
-    /// Waits for the number of shards, and makes a keeper for each.
-    pub async fn begin(&self, ctx: &Arc<ShardContext>) -> &[Arc<ShardKeeper>] {
-        let count = agreed_number(ctx).await;
+    /// Waits for the shard count and creates a keeper for each shard.
+    pub async fn start(&self, ctx: &Arc<ShardContext>) -> &[Arc<ShardKeeper>] {
+        let count = agreed_shard_count(ctx).await;
         let shards = (0..count).map(ShardIndex::new);
         let keepers = shards.map(|shard| Arc::new(ShardKeeper::new(Arc::clone(ctx), shard)));
-        log::info!(target: "shard", shards = count; "shards known");
+        log::info!(target: "shard", shards = count; "shard count agreed");
         self.0.get_or_init(|| keepers.collect())
     }
 }
 
-/// The number of shards, by the settings or as the boxes have agreed; proposes one where there is none.
-async fn agreed_number(ctx: &ShardContext) -> u32 {
+/// Returns the shard count from the settings or the stored layout; proposes a layout if there is
+/// none.
+async fn agreed_shard_count(ctx: &ShardContext) -> u32 {
     let started = Instant::now();
     let mut changes = ctx.view.changes();
     loop {
         if let Some(shards) = ctx.view.shards() {
             return shards;
         }
-        if let Some(layout) = proposal(ctx, started.elapsed()) {
-            propose(ctx, layout).await;
+        if let Some(layout) = layout_to_propose(ctx, started.elapsed()) {
+            propose_layout(ctx, layout).await;
             continue;
         }
-        // Changed or not, it is looked again.
-        let _elapsed = time::timeout(LOOK_EVERY, changes.changed()).await;
+        // Checks again after a change and after the timeout.
+        let _elapsed = time::timeout(POLL_INTERVAL, changes.changed()).await;
     }
 }
 
-/// The layout that this box should propose now, if it is its turn.
-fn proposal(ctx: &ShardContext, waited: Duration) -> Option<ShardLayout> {
-    let duties = ctx.view.assignments();
-    if !duties.is_read() {
+/// Returns the layout that this box should propose now, if it is its turn.
+fn layout_to_propose(ctx: &ShardContext, waited: Duration) -> Option<ShardLayout> {
+    let assignments = ctx.view.assignments();
+    if !assignments.is_read() {
         return None;
     }
-    // A deployment that runs already keeps what it has.
-    if let Some(last) = duties.last_shard() {
+    // An existing deployment keeps its shard count.
+    if let Some(last) = assignments.last_shard() {
         return Some(ShardLayout { shards: last.get() + 1 });
     }
-    let boxes: Vec<_> = duties.boxes().map(|copy| copy.box_id.clone()).collect();
+    let boxes: Vec<_> = assignments.boxes().map(|copy| copy.box_id.clone()).collect();
     let ranked = coord::rendezvous::ranked(LAYOUT_NAME, &boxes, boxes.len());
     let rank = ranked.iter().position(|box_id| **box_id == ctx.me.box_id)?;
-    let patience = COUNT_AFTER + TAKEOVER_TIMEOUT * u32::try_from(rank).unwrap_or(u32::MAX);
+    let delay = COUNT_DELAY + TAKEOVER_TIMEOUT * u32::try_from(rank).unwrap_or(u32::MAX);
     let layout = ShardLayout::for_boxes(boxes.len(), ctx.settings.copies);
-    (waited >= patience).then_some(layout)
+    (waited >= delay).then_some(layout)
 }
 
-/// Writes a layout unless there is one, and reads the one that is there.
-async fn propose(ctx: &ShardContext, layout: ShardLayout) {
+/// Creates the layout object unless it exists, and reads back the stored one.
+async fn propose_layout(ctx: &ShardContext, layout: ShardLayout) {
     ctx.view.metrics.store_call(Kind::ClusterState, StoreCall::Write);
     let written = ctx.view.store.create(Kind::ClusterState, LAYOUT_NAME, &layout).await;
     log::info!(
@@ -98,6 +99,6 @@
         Ok(None) => {}
         Err(error) => log::debug!(target: "shard", error:% = error; "layout not read"),
     }
-    // A store that takes no writes is not asked again at once.
-    time::sleep(LOOK_EVERY).await;
+    // Avoids a tight loop while the store refuses writes.
+    time::sleep(POLL_INTERVAL).await;
 }
--- a/crates/shards/src/lib.rs
+++ b/crates/shards/src/lib.rs
@@ -1,21 +1,19 @@
-//! The keeping role: shards of jobs, their logs, runs of items, orders to engines.
+//! The storage role: shards of jobs, their logs, runs of items, orders to engines.
 //!
-//! A box with a disk may serve some shards and hold copies of others' logs. For each shard a
+//! A box with a disk serves some shards and holds copies of the logs of others. For each shard a
 //! [`ShardKeeper`] follows the plan in the store and serves the shard while the plan names this
-//! box. The box that serves the shard of a service's name also orders that service's engines to
-//! load weights, and the one that serves the shard of the accounts speaks to these: reports of use, orders of
-//! replicas. Each such duty is one box's at a time, under a lease (`claim.rs`).
+//! box. The server of the shard to which a service's name maps also orders that service's engines
+//! to load weights. The server of the shard of the accounting lease sends usage reports and
+//! replica orders. One box at a time does each of these, under a lease (`claim.rs`).
 
-mod account;
-mod accounts;
+mod accounting;
+mod backlog;
 mod claim;
-mod conductor;
 mod context;
 mod copies;
 mod copying;
 mod dispatch;
-mod followers;
-mod forming;
+mod engine_assignments;
 mod handler;
 mod keeper;
 mod keepers;
@@ -27,11 +25,13 @@
 mod reports;
 mod reward;
 mod role;
+mod rollout;
 mod run;
 mod run_reason;
-mod work;
+mod takeover;
+mod timings;
 
 pub use context::ShardContext;
 pub use keeper::ShardKeeper;
-pub use loads::{LoadBoard, hear_loads};
+pub use loads::{LoadTable, apply_loads};
 pub use role::run_storage;
--- a/crates/shards/src/loads.rs
+++ b/crates/shards/src/loads.rs
@@ -1,8 +1,8 @@
-//! Which engines load by this box's orders, told to the boxes that run items.
+//! Weight loads that this box has ordered, reported to the boxes that run items.
 //!
-//! An engine turns work away while it loads, and the box that orders it is not always the one that runs
-//! items at it. Without word of its loads a server finds them out one refusal at a time, rests each engine
-//! after it, and hears of the new version only with the store's list.
+//! An engine refuses work while it loads, and the box that orders the load may not be the one that
+//! runs items at the engine. Without these reports a server learns of a load by a refusal, backs
+//! the engine off, and sees the new version only in the store's list.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -17,44 +17,44 @@
 
 use crate::context::ShardContext;
 use crate::keepers::KeeperSet;
-use crate::peers::send_beat;
+use crate::peers::send_heartbeat;
 
-/// How long a load that was told is believed: beats come every 250 ms, and two of them may be lost.
-const LOAD_TRUST: Duration = Duration::from_millis(700);
-/// How long an ended load is told, in case a beat is lost.
-const ENDED_TIME: Duration = Duration::from_secs(1);
-/// Loads begin and end in groups: news of them gather for this long before they are told.
-const GATHER: Duration = Duration::from_millis(30);
+/// How long a reported load is valid: two heartbeats, 250 ms apart, may be lost.
+const LOAD_REPORT_TTL: Duration = Duration::from_millis(700);
+/// How long a completed load is still reported, in case a heartbeat is lost.
+const ENDED_LOAD_TTL: Duration = Duration::from_secs(1);
+/// Delay that batches load changes before they are reported, since loads start and end in groups.
+const BATCH_DELAY: Duration = Duration::from_millis(30);
 
 #[derive(Debug)]
 struct LoadState {
     model: ModelName,
     version: ModelVersion,
-    /// When it ended, and whether the engine holds the version.
+    /// Completion time, and whether the engine has the version.
     ended: Option<(Moment, bool)>,
 }
 
 /// The loads that this box has ordered.
 #[derive(Debug, Default)]
-pub struct LoadBoard {
+pub struct LoadTable {
     loads: Mutex<HashMap<InstanceId, LoadState>>,
     changed: Notify,
 }
 
-impl LoadBoard {
+impl LoadTable {
     fn lock(&self) -> MutexGuard<'_, HashMap<InstanceId, LoadState>> {
         self.loads.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that an engine was ordered to load.
-    pub fn begun(&self, engine: &InstanceId, model: &ModelName, version: ModelVersion) {
+    /// Records that an engine was ordered to load.
+    pub fn load_started(&self, engine: &InstanceId, model: &ModelName, version: ModelVersion) {
         let state = LoadState { model: model.clone(), version, ended: None };
         self.lock().insert(engine.clone(), state);
         self.changed.notify_one();
     }
 
-    /// Notes that an engine takes work again, if it was ordered to load.
-    pub fn ended(&self, now: Moment, engine: &InstanceId, holds: bool) {
+    /// Records the completion of an ordered load; `holds` is whether the engine has the version.
+    pub fn load_ended(&self, now: Moment, engine: &InstanceId, holds: bool) {
         let mut loads = self.lock();
         let Some(state) = loads.get_mut(engine) else { return };
         if state.ended.is_none() {
@@ -63,50 +63,51 @@
         }
     }
 
-    /// The loads that are under way or ended a moment ago.
-    pub fn told(&self, now: Moment) -> Vec<WeightLoad> {
+    /// Returns the loads in progress and those completed recently.
+    pub fn current_loads(&self, now: Moment) -> Vec<WeightLoad> {
         let mut loads = self.lock();
-        loads.retain(|_, state| state.ended.is_none_or(|(at, _)| now.since(at) < ENDED_TIME));
-        let told = loads.iter().map(|(engine, state)| WeightLoad {
+        loads.retain(|_, state| state.ended.is_none_or(|(at, _)| now.since(at) < ENDED_LOAD_TTL));
+        let reported = loads.iter().map(|(engine, state)| WeightLoad {
             target: engine.to_string(),
             model: state.model.to_string(),
             version: state.version.get(),
             ended: state.ended.is_some(),
             holds: state.ended.is_some_and(|(_, holds)| holds),
         });
-        told.collect()
+        reported.collect()
     }
 }
 
-/// The loads that a box is told: those that run no items need none.
-pub fn told_loads(ctx: &ShardContext, other: &BoxId) -> Vec<WeightLoad> {
+/// Returns the loads to report to a box: empty unless it serves a shard, since only servers run
+/// items.
+pub fn loads_for_peer(ctx: &ShardContext, other: &BoxId) -> Vec<WeightLoad> {
     let serves = ctx.view.assignments().servers().any(|server| server.box_id == *other);
-    if serves { ctx.loads.told(ctx.view.now()) } else { Vec::new() }
+    if serves { ctx.loads.current_loads(ctx.view.now()) } else { Vec::new() }
 }
 
-/// Takes what another box tells of its loads.
-pub fn hear_loads(board: &mut TargetTable, now: Moment, loads: &[WeightLoad]) {
+/// Applies the loads that another box reports.
+pub fn apply_loads(targets: &mut TargetTable, now: Moment, loads: &[WeightLoad]) {
     for load in loads {
         let (Ok(engine), Ok(model)) = (load.target.parse(), load.model.parse()) else { continue };
         if load.holds {
-            board.record_version(&engine, &model, ModelVersion::new(load.version));
+            targets.record_version(&engine, &model, ModelVersion::new(load.version));
         }
-        board.loading(&engine, if load.ended { now } else { now + LOAD_TRUST });
+        targets.loading(&engine, if load.ended { now } else { now + LOAD_REPORT_TTL });
     }
 }
 
-/// Tells servers of shards of loads as they begin and end, until the box ends.
-pub async fn tell_loads(ctx: Arc<ShardContext>, keepers: Arc<KeeperSet>) {
+/// Reports changes of loads to the servers of shards until the box stops.
+pub async fn publish_loads(ctx: Arc<ShardContext>, keepers: Arc<KeeperSet>) {
     loop {
         ctx.loads.changed.notified().await;
-        time::sleep(GATHER).await;
+        time::sleep(BATCH_DELAY).await;
         let others: HashMap<BoxId, StorageBox> = {
-            let duties = ctx.view.assignments();
-            let others = duties.servers().filter(|server| server.box_id != ctx.me.box_id);
+            let assignments = ctx.view.assignments();
+            let others = assignments.servers().filter(|server| server.box_id != ctx.me.box_id);
             others.map(|server| (server.box_id.clone(), server.clone())).collect()
         };
         for other in others.into_values() {
-            tokio::spawn(send_beat(Arc::clone(&ctx), Arc::clone(&keepers), other));
+            tokio::spawn(send_heartbeat(Arc::clone(&ctx), Arc::clone(&keepers), other));
         }
     }
 }
--- a/crates/shards/src/log_writer.rs
+++ b/crates/shards/src/log_writer.rs
@@ -1,4 +1,4 @@
-//! Writes a served shard's records to all copies of its log, many at a time.
+//! Appends a served shard's records to all copies of its log, in batches.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,23 +15,23 @@
 use crate::copies::on_disk;
 use crate::keeper::ShardKeeper;
 
-/// Longest time for all copies to have a round on disk. A box that is slower is replaced.
-const ROUND_TIME: Duration = Duration::from_millis(800);
-/// Pause before an append is sent again.
-const AGAIN_PAUSE: Duration = Duration::from_millis(200);
-/// An empty round proves that all copies still take appends under this epoch.
-const PROOF_EVERY: Duration = Duration::from_millis(250);
-/// Most bytes of one round; the rest waits for the next.
+/// Timeout for all copies to write a round to disk. A slower box is replaced.
+const ROUND_TIMEOUT: Duration = Duration::from_millis(800);
+/// Delay before an append is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Interval of empty rounds, which confirm that all copies still accept appends under this epoch.
+const CONFIRM_INTERVAL: Duration = Duration::from_millis(250);
+/// Size in bytes from which a round accepts no further records.
 const ROUND_BYTES: usize = 2 << 20;
-/// Records that wait for a round.
-pub const QUEUE: usize = 4_096;
+/// Capacity of the queue of log work.
+pub const QUEUE_CAPACITY: usize = 4_096;
 
-/// Records to write, and who waits for them.
+/// Records to append, and the task that waits for them.
 #[derive(Debug)]
 pub struct LogWork {
-    /// In order; none asks only for the proof.
+    /// In log order; an empty list only requests a confirmation.
     pub records: Vec<LogRecord>,
-    /// Told once all copies have them.
+    /// Notified once all copies have the records.
     pub done: Option<oneshot::Sender<()>>,
 }
 
@@ -42,27 +42,27 @@
     pub epoch: EpochId,
     /// This box's copy.
     pub file: Option<LogCopyFile>,
-    /// The other copies.
+    /// The boxes that hold the other copies.
     pub partners: Vec<StorageBox>,
 }
 
-/// Writes rounds until one fails or nobody can send work any more. Whatever a failed round held
-/// is forgotten: nobody was told of it.
+/// Writes rounds until one fails or all senders are dropped. The records of a failed round are
+/// dropped; none was acknowledged.
 pub async fn write_log(
     ctx: Arc<ShardContext>,
     keeper: Arc<ShardKeeper>,
     mut log: EpochLog,
     mut work: mpsc::Receiver<LogWork>,
 ) {
-    // The first proof is due at once: nothing may be shown before it.
-    let mut patience = Duration::ZERO;
+    // Confirm the epoch immediately: nothing may be served before.
+    let mut delay = Duration::ZERO;
     loop {
-        let first = match time::timeout(patience, work.recv()).await {
+        let first = match time::timeout(delay, work.recv()).await {
             Ok(Some(first)) => Some(first),
             Ok(None) => return,
             Err(_elapsed) => None,
         };
-        patience = PROOF_EVERY;
+        delay = CONFIRM_INTERVAL;
         let mut round = LogRound::default();
         if let Some(first) = first {
             round.add(first);
@@ -73,14 +73,14 @@
             round.add(more);
         }
         let Some(file) = log.file.take() else { return };
-        round.lies_from(file.len());
+        round.shift_locations(file.len());
         let Some(file) = write_round(&ctx, keeper.shard(), &log, file, &round).await else {
             return;
         };
         log.file = Some(file);
         keeper.apply(round.records);
         for done in round.waiters {
-            // Whoever asked may have left meanwhile.
+            // The waiter may have been dropped.
             let _left = done.send(());
         }
     }
@@ -96,15 +96,15 @@
 impl LogRound {
     fn add(&mut self, work: LogWork) {
         for record in work.records {
-            let place = encode_record(&record, &mut self.bytes);
-            self.records.push((record, place));
+            let location = encode_record(&record, &mut self.bytes);
+            self.records.push((record, location));
         }
         self.waiters.extend(work.done);
     }
 
-    /// The round's first byte lies at `offset` of the copy.
-    fn lies_from(&mut self, offset: u64) {
-        self.records.iter_mut().for_each(|(_, place)| place.offset += offset);
+    /// Shifts locations by `offset`, the position of the round's first byte in the copy.
+    fn shift_locations(&mut self, offset: u64) {
+        self.records.iter_mut().for_each(|(_, location)| location.offset += offset);
     }
 }
 
@@ -139,30 +139,30 @@
         written.await
     };
     let (own, others) = tokio::join!(own, join_all(appends));
-    own.filter(|_| others.into_iter().all(|taken| taken))
+    own.filter(|_| others.into_iter().all(|accepted| accepted))
 }
 
-/// Appends to the copy of another box. What got no answer is sent again while the store is away:
-/// no new epoch can be formed then, by nobody. A box that has closed the copy refuses.
+/// Appends to another box's copy. Retries failed appends while the store is unavailable, since no
+/// new epoch can be created then. Stops when the box refuses because it has closed the copy.
 async fn append_at(ctx: &ShardContext, partner: &StorageBox, append: LogAppend) -> bool {
     loop {
         let body = shard_request::Body::Append(append.clone());
-        let error = match ctx.ask(&partner.address, ROUND_TIME, body).await {
+        let error = match ctx.call_box(&partner.address, ROUND_TIMEOUT, body).await {
             Ok(shard_response::Body::Synced(_)) => return true,
             Ok(_) => CallError::Broken { why: "an answer of another kind" },
             Err(error) => error,
         };
-        ctx.peers.failed(ctx.view.now(), &partner.box_id);
+        ctx.peers.record_failure(ctx.view.now(), &partner.box_id);
         let refused = matches!(error, CallError::Refused(_));
         let again = !refused && !ctx.view.store_state().up;
         log::warn!(
             target: "shard", shard = append.shard, epoch = append.epoch.as_str(),
             peer:% = partner.box_id, offset = append.offset, error:% = error, again = again;
-            "copy did not take the append"
+            "copy did not accept the append"
         );
         if !again {
             return false;
         }
-        time::sleep(AGAIN_PAUSE).await;
+        time::sleep(RETRY_DELAY).await;
     }
 }
--- a/crates/shards/src/order.rs
+++ b/crates/shards/src/order.rs
@@ -1,4 +1,4 @@
-//! One order to an engine: load a version.
+//! One order to an engine to load a weight version.
 
 use std::time::Duration;
 
@@ -14,18 +14,18 @@
 
 use crate::context::ShardContext;
 
-/// Longest wait for an engine's report or for its word on an order.
-const ANSWER_TIME: Duration = Duration::from_millis(800);
-/// Reports and orders are short.
-const MOST_ANSWER: usize = 1 << 20;
-/// Time that a load and the lag of a report take at least; nothing is asked before.
-const LEAST_LOAD: Duration = Duration::from_secs(1);
-/// Time between two readings of an engine that loads.
-const READ_EVERY: Duration = Duration::from_millis(80);
-/// After this long a load is taken to have failed, and the engine is ordered anew.
-const MOST_LOAD: Duration = Duration::from_secs(6);
+/// Timeout for an engine's report or its response to an order.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(800);
+/// Maximum size of an engine's response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 1 << 20;
+/// Minimum duration of a load including the delay of reports; the engine is not polled earlier.
+const MIN_LOAD_DURATION: Duration = Duration::from_secs(1);
+/// Interval between two polls of a loading engine.
+const REPORT_POLL_INTERVAL: Duration = Duration::from_millis(80);
+/// Timeout of a load; the engine is then ordered again.
+const LOAD_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// What is ordered.
+/// An order to an engine.
 #[derive(Debug, Clone)]
 pub struct OrderSpec {
     /// The engine.
@@ -34,55 +34,55 @@
     pub model: ModelName,
     /// The version to load.
     pub version: ModelVersion,
-    /// What becomes of runs.
+    /// How the engine treats its running work.
     pub mode: SwapMode,
 }
 
-/// How an order ended.
+/// The outcome of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OrderEnd {
-    /// The engine holds the version.
-    Holds,
-    /// Something else is under way there.
+pub enum OrderResult {
+    /// The engine has the version.
+    Loaded,
+    /// The engine is busy with another load.
     Busy,
     /// The lease was lost before the order was sent.
-    NotSent,
-    /// Nobody knows; the next order settles it.
-    InDoubt,
-    /// The engine is another life, or gone.
-    Gone,
+    LeaseLost,
+    /// The outcome is unknown; the next order resolves it.
+    Unknown,
+    /// The address belongs to another instance or incarnation.
+    InstanceGone,
 }
 
-/// Reads an engine and, while `token` still gives one, orders it to load. The token is asked
-/// for right before the order is sent, since this process may have been stopped in between.
+/// Reads the engine's report and orders a load if `token` still returns a token. The token is
+/// requested right before sending, since the process may have been suspended meanwhile.
 pub async fn order_engine(
     ctx: &ShardContext,
     spec: &OrderSpec,
     token: impl Fn() -> Option<FencingToken>,
-) -> OrderEnd {
-    let end = order_once(ctx, spec, token).await;
+) -> OrderResult {
+    let result = order_once(ctx, spec, token).await;
     ctx.view.target_table().loading(&spec.target.instance, ctx.view.now());
-    ctx.loads.ended(ctx.view.now(), &spec.target.instance, end == OrderEnd::Holds);
-    if end == OrderEnd::Holds {
+    ctx.loads.load_ended(ctx.view.now(), &spec.target.instance, result == OrderResult::Loaded);
+    if result == OrderResult::Loaded {
         ctx.view.target_table().record_version(&spec.target.instance, &spec.model, spec.version);
     }
-    ctx.view.metrics.count_outcome("order", word(end));
+    ctx.view.metrics.count_outcome("order", result_label(result));
     log::info!(
         target: "conductor", target:% = spec.target.instance, model:% = spec.model,
-        weight_version = spec.version.get(), outcome = word(end);
+        weight_version = spec.version.get(), outcome = result_label(result);
         "order ended"
     );
     ctx.view.wake();
-    end
+    result
 }
 
-const fn word(end: OrderEnd) -> &'static str {
-    match end {
-        OrderEnd::Holds => "holds",
-        OrderEnd::Busy => "busy",
-        OrderEnd::NotSent => "lease lost",
-        OrderEnd::InDoubt => "in doubt",
-        OrderEnd::Gone => "gone",
+const fn result_label(result: OrderResult) -> &'static str {
+    match result {
+        OrderResult::Loaded => "holds",
+        OrderResult::Busy => "busy",
+        OrderResult::LeaseLost => "lease lost",
+        OrderResult::Unknown => "in doubt",
+        OrderResult::InstanceGone => "gone",
     }
 }
 
@@ -90,15 +90,15 @@
     ctx: &ShardContext,
     spec: &OrderSpec,
     token: impl Fn() -> Option<FencingToken>,
-) -> OrderEnd {
-    let Some(report) = read_engine(ctx, spec).await else { return OrderEnd::InDoubt };
-    if holds(&report, spec) {
-        return OrderEnd::Holds;
+) -> OrderResult {
+    let Some(report) = read_engine(ctx, spec).await else { return OrderResult::Unknown };
+    if has_version(&report, spec) {
+        return OrderResult::Loaded;
     }
     if report.busy {
-        return OrderEnd::Busy;
+        return OrderResult::Busy;
     }
-    let Some(token) = token() else { return OrderEnd::NotSent };
+    let Some(token) = token() else { return OrderResult::LeaseLost };
     let order = LoadOrder {
         model: spec.model.clone(),
         version: spec.version,
@@ -113,89 +113,89 @@
         "order sent"
     );
     let body = Bytes::from(orders::write_order(&order));
-    ctx.view.target_table().loading(&spec.target.instance, ctx.view.now() + MOST_LOAD);
-    ctx.loads.begun(&spec.target.instance, &spec.model, spec.version);
-    match ask(ctx, spec, Method::POST, orders::ORDER_PATH, body).await {
+    ctx.view.target_table().loading(&spec.target.instance, ctx.view.now() + LOAD_TIMEOUT);
+    ctx.loads.load_started(&spec.target.instance, &spec.model, spec.version);
+    match send_request(ctx, spec, Method::POST, orders::ORDER_PATH, body).await {
         Ok((StatusCode::ACCEPTED, _)) => {}
-        Ok((StatusCode::OK, _)) => return OrderEnd::Holds,
-        Ok((StatusCode::CONFLICT, _)) => return OrderEnd::Busy,
-        Ok((StatusCode::MISDIRECTED_REQUEST, _)) => return OrderEnd::Gone,
+        Ok((StatusCode::OK, _)) => return OrderResult::Loaded,
+        Ok((StatusCode::CONFLICT, _)) => return OrderResult::Busy,
+        Ok((StatusCode::MISDIRECTED_REQUEST, _)) => return OrderResult::InstanceGone,
         Ok((status, _)) => {
             log::warn!(target: "conductor", target:% = spec.target.instance, status = status.as_u16(); "order refused");
-            return OrderEnd::Busy;
+            return OrderResult::Busy;
         }
-        Err(_unknown) => return OrderEnd::InDoubt,
+        Err(_unknown) => return OrderResult::Unknown,
     }
     await_load(ctx, spec).await
 }
 
-/// Reads the engine until it holds the version.
-async fn await_load(ctx: &ShardContext, spec: &OrderSpec) -> OrderEnd {
-    let until = Instant::now() + MOST_LOAD;
-    time::sleep(LEAST_LOAD).await;
+/// Polls the engine until it has the version.
+async fn await_load(ctx: &ShardContext, spec: &OrderSpec) -> OrderResult {
+    let until = Instant::now() + LOAD_TIMEOUT;
+    time::sleep(MIN_LOAD_DURATION).await;
     while Instant::now() < until {
-        // An answer to a sample may have told it already.
-        let told = ctx.view.target_table().record(&spec.target.instance).is_none_or(|record| {
+        // The response to a sample may have reported the version already.
+        let reported = ctx.view.target_table().record(&spec.target.instance).is_none_or(|record| {
             record
                 .models
                 .iter()
                 .any(|held| held.model == spec.model && held.version >= spec.version)
         });
-        if told {
-            return OrderEnd::Holds;
+        if reported {
+            return OrderResult::Loaded;
         }
         if let Some(report) = read_engine(ctx, spec).await
-            && holds(&report, spec)
+            && has_version(&report, spec)
         {
-            return OrderEnd::Holds;
+            return OrderResult::Loaded;
         }
-        time::sleep(READ_EVERY).await;
+        time::sleep(REPORT_POLL_INTERVAL).await;
     }
-    OrderEnd::InDoubt
+    OrderResult::Unknown
 }
 
-fn holds(report: &EngineReport, spec: &OrderSpec) -> bool {
+fn has_version(report: &EngineReport, spec: &OrderSpec) -> bool {
     report.models.iter().any(|held| held.model == spec.model && held.version >= spec.version)
 }
 
 async fn read_engine(ctx: &ShardContext, spec: &OrderSpec) -> Option<EngineReport> {
-    let answer = ask(ctx, spec, Method::GET, orders::REPORT_PATH, Bytes::new()).await;
-    let Ok((StatusCode::OK, body)) = answer else { return None };
+    let response = send_request(ctx, spec, Method::GET, orders::REPORT_PATH, Bytes::new()).await;
+    let Ok((StatusCode::OK, body)) = response else { return None };
     match orders::read_report(&body) {
         Ok(report) => Some(report),
         Err(error) => {
-            log::warn!(target: "conductor", target:% = spec.target.instance, error:% = error; "report refused");
+            log::warn!(target: "conductor", target:% = spec.target.instance, error:% = error; "engine report is invalid");
             None
         }
     }
 }
 
-async fn ask(
+async fn send_request(
     ctx: &ShardContext,
     spec: &OrderSpec,
     method: Method,
     path: &'static str,
     body: Bytes,
 ) -> Result<(StatusCode, Bytes), SendError> {
-    let mut sent = HeaderMap::new();
+    let mut header_map = HeaderMap::new();
     let host = HeaderValue::from_str(&spec.target.address.to_string());
-    sent.extend(host.map(|host| (http::header::HOST, host)));
-    headers::set_instance(&mut sent, &spec.target.instance);
+    header_map.extend(host.map(|host| (http::header::HOST, host)));
+    headers::set_instance(&mut header_map, &spec.target.instance);
     if !body.is_empty() {
         let json = HeaderValue::from_static("application/json");
-        sent.insert(http::header::CONTENT_TYPE, json);
+        header_map.insert(http::header::CONTENT_TYPE, json);
     }
     let mut request = Request::new(Full::new(body));
     *request.method_mut() = method;
     *request.uri_mut() = Uri::from_static(path);
-    *request.headers_mut() = sent;
-    let asked = async {
-        // These answers name no request, so none may ride behind another's.
-        let answer = ctx.view.pool.send_on_new_connection(spec.target.address, request).await?;
-        answer.read_full(MOST_ANSWER).await
+    *request.headers_mut() = header_map;
+    let call = async {
+        // These responses carry no request id, so they must not share a pipelined connection.
+        let response = ctx.view.pool.send_on_new_connection(spec.target.address, request).await?;
+        response.read_full(MAX_RESPONSE_BYTES).await
     };
-    match time::timeout(ANSWER_TIME, asked).await {
-        Ok(Ok(whole)) => Ok((whole.status, whole.body)),
+    match time::timeout(RESPONSE_TIMEOUT, call).await {
+        Ok(Ok(full)) => Ok((full.status, full.body)),
         Ok(Err(error)) => Err(error),
         Err(_elapsed) => Err(SendError::Broken("silence".to_owned())),
     }
--- a/crates/shards/src/peers.rs
+++ b/crates/shards/src/peers.rs
@@ -1,8 +1,8 @@
-//! Beats between the boxes that keep data.
+//! Heartbeats between storage boxes.
 //!
-//! A beat and its answer tell each side of the other, so of two boxes mostly one calls: whoever has just been
-//! called has nothing to ask, unless it has news. Boxes that stand by are called while too few of those at work are
-//! heard.
+//! A heartbeat and its response carry the state of both boxes, so one box of a pair calls: a box
+//! that was called recently skips its own call unless it has updates. Standby boxes are called
+//! only while too few active boxes are live.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -20,58 +20,59 @@
 use crate::context::ShardContext;
 use crate::keeper::ShardKeeper;
 use crate::keepers::KeeperSet;
-use crate::loads::told_loads;
-
-/// Time between beats.
-const BEAT_EVERY: Duration = Duration::from_millis(250);
-/// A box that has beaten within this time has been answered, and is not called as well.
-const BEATEN_TIME: Duration = Duration::from_millis(200);
-/// Longest wait for the answer to a beat.
-const BEAT_TIME: Duration = Duration::from_millis(500);
-/// A box heard within this time may be given a copy.
-const FIT_TIME: Duration = Duration::from_millis(700);
-/// After a failed call a box is given a copy only if there is no other: it takes this long until
-/// its silence shows, and a cut takes its whole failure domain with it.
-const FAILED_TIME: Duration = Duration::from_millis(1_500);
-/// A box heard within this time has told what it counted up to a second ago.
-const HEARD_TIME: Duration = Duration::from_secs(1);
-/// Boxes that stand by are called for this long once they are needed: some tries to make new copies.
-const STANDBY_TIME: Duration = Duration::from_secs(3);
-/// A box silent for this long is asked less often.
-const SILENT_TIME: Duration = Duration::from_secs(10);
-/// A connection that fails sooner than this was refused: the box runs, its process does not.
-const REFUSED_TIME: Duration = Duration::from_millis(100);
-/// One beat in this many goes to a box that has been silent for long.
-const SILENT_BEATS: u64 = 10;
+use crate::loads::loads_for_peer;
+
+/// Interval between heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
+/// A box that sent a heartbeat within this time has our state and is not called.
+const CALLED_WINDOW: Duration = Duration::from_millis(200);
+/// Timeout of a heartbeat.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(500);
+/// A box whose last heartbeat is older may not receive a copy.
+const LIVE_WINDOW: Duration = Duration::from_millis(700);
+/// How long a box is avoided for copies after a failed call. It takes this long to detect that it
+/// is unresponsive, and a partition affects its whole failure domain.
+const FAILURE_WINDOW: Duration = Duration::from_millis(1_500);
+/// Boxes with a heartbeat within this time have reported their usage of up to a second ago.
+const USAGE_REPORT_WINDOW: Duration = Duration::from_secs(1);
+/// How long standby boxes are called once they are needed: several takeover attempts.
+const STANDBY_WINDOW: Duration = Duration::from_secs(3);
+/// A box unresponsive for this long is called less often.
+const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_secs(10);
+/// A connection that fails faster than this was refused: the machine runs, but the process
+/// doesn't.
+const REFUSAL_THRESHOLD: Duration = Duration::from_millis(100);
+/// Only every n-th heartbeat goes to a box that is unresponsive for long.
+const UNRESPONSIVE_SKIP_FACTOR: u64 = 10;
 
 #[derive(Debug, Clone)]
 struct PeerState {
-    heard_at: Moment,
+    last_heartbeat: Moment,
     leaving: bool,
 }
 
 #[derive(Debug, Default)]
 struct PeerStates {
     peers: HashMap<BoxId, PeerState>,
-    /// When a box last said that it serves a shard, and under which token.
+    /// When a box last reported that it serves a shard, and under which token.
     served: HashMap<(ShardIndex, BoxId), (FencingToken, Moment)>,
-    /// What the holder of a lease last said of its writes.
-    notes: HashMap<String, LeaseReport>,
+    /// Last write reported by the holder of each lease.
+    lease_reports: HashMap<String, LeaseReport>,
     /// When a box last refused connections.
     refused: HashMap<BoxId, Moment>,
-    /// When a box last said that it makes new copies of a shard.
-    forming: HashMap<(ShardIndex, BoxId), Moment>,
-    /// When a box last said that its disk lacks a shard's copy, and under which token.
-    lacking: HashMap<(ShardIndex, BoxId), (FencingToken, Moment)>,
-    /// When a call to a box last broke off or got no answer in time.
+    /// When a box last reported that it is taking a shard over.
+    takeovers: HashMap<(ShardIndex, BoxId), Moment>,
+    /// When a box last reported a missing copy of a shard, and under which token.
+    missing_copies: HashMap<(ShardIndex, BoxId), (FencingToken, Moment)>,
+    /// When a call to a box last broke off or timed out.
     failed: HashMap<BoxId, Moment>,
     /// When a box last called this one.
-    beaten: HashMap<BoxId, Moment>,
-    /// Until when boxes that stand by are called as well.
+    called: HashMap<BoxId, Moment>,
+    /// Until when standby boxes are called as well.
     standby_until: Moment,
 }
 
-/// Which boxes are heard, and what they say of themselves.
+/// Liveness and reported state of the other storage boxes.
 #[derive(Debug)]
 pub struct PeerTable {
     started: Moment,
@@ -79,7 +80,7 @@
 }
 
 impl PeerTable {
-    /// A table that has heard nobody.
+    /// Creates a table without any heartbeats.
     pub fn new(started: Moment) -> Self {
         Self { started, states: Mutex::default() }
     }
@@ -88,121 +89,128 @@
         self.states.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes what a box says of itself.
-    pub fn heard(&self, now: Moment, beat: &ShardHeartbeat) {
-        let Ok(box_id) = beat.box_id.parse::<BoxId>() else { return };
+    /// Records the state that a box reports.
+    pub fn record_heartbeat(&self, now: Moment, heartbeat: &ShardHeartbeat) {
+        let Ok(box_id) = heartbeat.box_id.parse::<BoxId>() else { return };
         let mut states = self.lock();
-        let state = PeerState { heard_at: now, leaving: beat.leaving };
+        let state = PeerState { last_heartbeat: now, leaving: heartbeat.leaving };
         states.peers.insert(box_id.clone(), state);
-        for served in &beat.served {
+        for served in &heartbeat.served {
             let key = (ShardIndex::new(served.shard), box_id.clone());
             states.served.insert(key, (FencingToken::new(served.token), now));
         }
-        for shard in &beat.taking_over {
-            states.forming.insert((ShardIndex::new(*shard), box_id.clone()), now);
+        for shard in &heartbeat.taking_over {
+            states.takeovers.insert((ShardIndex::new(*shard), box_id.clone()), now);
         }
-        for lacking in &beat.missing_copies {
+        for lacking in &heartbeat.missing_copies {
             let key = (ShardIndex::new(lacking.shard), box_id.clone());
-            states.lacking.insert(key, (FencingToken::new(lacking.token), now));
+            states.missing_copies.insert(key, (FencingToken::new(lacking.token), now));
         }
-        for held in &beat.leases {
+        for held in &heartbeat.leases {
             let token = FencingToken::new(held.token);
-            let known = states.notes.get(&held.name);
-            if known.is_some_and(|note| (note.token, note.write) >= (token, held.write)) {
+            let previous = states.lease_reports.get(&held.name);
+            if previous.is_some_and(|report| (report.token, report.write) >= (token, held.write)) {
                 continue;
             }
-            let note =
+            let report =
                 LeaseReport { holder: box_id.clone(), token, write: held.write, heard_at: now };
-            states.notes.insert(held.name.clone(), note);
+            states.lease_reports.insert(held.name.clone(), report);
         }
     }
 
-    /// Notes that a box has called this one.
-    pub fn beaten(&self, now: Moment, box_id: &BoxId) {
-        self.lock().beaten.insert(box_id.clone(), now);
+    /// Records a call from a box.
+    pub fn record_call(&self, now: Moment, box_id: &BoxId) {
+        self.lock().called.insert(box_id.clone(), now);
     }
 
-    /// Whether a box has called this one a moment ago, so that each has heard the other.
-    pub fn has_beaten(&self, now: Moment, box_id: &BoxId) -> bool {
-        let beaten_at = self.lock().beaten.get(box_id).copied();
-        beaten_at.is_some_and(|at| now.since(at) < BEATEN_TIME)
+    /// Returns whether a box called this one recently, so that both have each other's state.
+    pub fn called_recently(&self, now: Moment, box_id: &BoxId) -> bool {
+        let called_at = self.lock().called.get(box_id).copied();
+        called_at.is_some_and(|at| now.since(at) < CALLED_WINDOW)
     }
 
-    /// Lets boxes that stand by be called for a while: too few others are heard to give copies to.
+    /// Extends heartbeats to standby boxes for a while, because too few other boxes are live to
+    /// hold copies.
     pub fn call_standby(&self, now: Moment) {
-        self.lock().standby_until = now + STANDBY_TIME;
+        self.lock().standby_until = now + STANDBY_WINDOW;
     }
 
     fn calls_standby(&self, now: Moment) -> bool {
         now < self.lock().standby_until
     }
 
-    /// Whether every one of these boxes was heard just now.
-    pub fn all_heard<'a>(&self, now: Moment, boxes: impl IntoIterator<Item = &'a BoxId>) -> bool {
+    /// Returns whether all of these boxes sent a heartbeat recently.
+    pub fn all_recent<'a>(&self, now: Moment, boxes: impl IntoIterator<Item = &'a BoxId>) -> bool {
         let states = self.lock();
         boxes.into_iter().all(|box_id| {
-            states.peers.get(box_id).is_some_and(|state| now.since(state.heard_at) < HEARD_TIME)
+            states
+                .peers
+                .get(box_id)
+                .is_some_and(|state| now.since(state.last_heartbeat) < USAGE_REPORT_WINDOW)
         })
     }
 
-    /// What the holder of a lease last said of its writes.
-    pub fn lease_note(&self, name: &str) -> Option<LeaseReport> {
-        self.lock().notes.get(name).cloned()
+    /// Returns the last write reported by the holder of a lease.
+    pub fn lease_report(&self, name: &str) -> Option<LeaseReport> {
+        self.lock().lease_reports.get(name).cloned()
     }
 
-    /// Notes that a box refuses connections: its process has ended and will be started again.
-    pub fn refused(&self, now: Moment, box_id: &BoxId) {
+    /// Records that a box refuses connections: its process has ended and is expected to restart.
+    pub fn record_refusal(&self, now: Moment, box_id: &BoxId) {
         self.lock().refused.insert(box_id.clone(), now);
     }
 
-    /// Whether a box has refused connections since it was last heard.
-    pub fn restarts(&self, box_id: &BoxId) -> bool {
+    /// Returns whether a box has refused connections since its last heartbeat.
+    pub fn is_restarting(&self, box_id: &BoxId) -> bool {
         let states = self.lock();
-        let heard_at = states.peers.get(box_id).map_or(self.started, |state| state.heard_at);
-        states.refused.get(box_id).is_some_and(|refused_at| *refused_at > heard_at)
+        let last_heartbeat =
+            states.peers.get(box_id).map_or(self.started, |state| state.last_heartbeat);
+        states.refused.get(box_id).is_some_and(|refused_at| *refused_at > last_heartbeat)
     }
 
-    /// Notes that a call to a box broke off or got no answer in time.
-    pub fn failed(&self, now: Moment, box_id: &BoxId) {
+    /// Records a call that broke off or timed out.
+    pub fn record_failure(&self, now: Moment, box_id: &BoxId) {
         self.lock().failed.insert(box_id.clone(), now);
     }
 
-    /// Boxes to which a call has failed of late.
-    pub fn failing(&self, now: Moment) -> Vec<BoxId> {
+    /// Returns the boxes with a recent failed call.
+    pub fn recently_failed(&self, now: Moment) -> Vec<BoxId> {
         let states = self.lock();
-        let failing = states.failed.iter().filter(|(_, at)| now.since(**at) < FAILED_TIME);
+        let failing = states.failed.iter().filter(|(_, at)| now.since(**at) < FAILURE_WINDOW);
         failing.map(|(box_id, _)| box_id.clone()).collect()
     }
 
-    /// Whether a box may be given a copy.
-    pub fn is_fit(&self, now: Moment, box_id: &BoxId) -> bool {
+    /// Returns whether a box may receive a copy.
+    pub fn can_host_copy(&self, now: Moment, box_id: &BoxId) -> bool {
         let states = self.lock();
         states
             .peers
             .get(box_id)
-            .is_some_and(|state| !state.leaving && now.since(state.heard_at) < FIT_TIME)
+            .is_some_and(|state| !state.leaving && now.since(state.last_heartbeat) < LIVE_WINDOW)
     }
 
-    /// Whether a box makes new copies of a shard, as it has said a moment ago.
-    pub fn forms(&self, now: Moment, shard: ShardIndex, box_id: &BoxId) -> bool {
-        let told = self.lock().forming.get(&(shard, box_id.clone())).copied();
-        told.is_some_and(|at| now.since(at) < FIT_TIME)
+    /// Returns whether a box has recently reported that it is taking a shard over.
+    pub fn is_taking_over(&self, now: Moment, shard: ShardIndex, box_id: &BoxId) -> bool {
+        let reported = self.lock().takeovers.get(&(shard, box_id.clone())).copied();
+        reported.is_some_and(|at| now.since(at) < LIVE_WINDOW)
     }
 
-    /// Whether a box has said a moment ago that its disk lacks the copy of a plan with this token.
-    pub fn lacks(
+    /// Returns whether a box has recently reported that it lacks the copy of the plan with this
+    /// token.
+    pub fn lacks_copy(
         &self,
         now: Moment,
         shard: ShardIndex,
         box_id: &BoxId,
         token: FencingToken,
     ) -> bool {
-        let told = self.lock().lacking.get(&(shard, box_id.clone())).copied();
-        told.is_some_and(|(lacking, at)| lacking == token && now.since(at) < FIT_TIME)
+        let reported = self.lock().missing_copies.get(&(shard, box_id.clone())).copied();
+        reported.is_some_and(|(lacking, at)| lacking == token && now.since(at) < LIVE_WINDOW)
     }
 
-    /// How long a box has not said that it serves a shard under `token` or a later one.
-    pub fn silent(
+    /// Returns how long a box has not reported that it serves a shard under `token` or a later
+    /// one.
+    pub fn unreported_for(
         &self,
         now: Moment,
         shard: ShardIndex,
@@ -210,19 +218,21 @@
         token: FencingToken,
     ) -> Duration {
         let states = self.lock();
-        let told = states.served.get(&(shard, box_id.clone()));
-        let at = told.filter(|(served, _)| *served >= token).map_or(self.started, |(_, at)| *at);
+        let reported = states.served.get(&(shard, box_id.clone()));
+        let at =
+            reported.filter(|(served, _)| *served >= token).map_or(self.started, |(_, at)| *at);
         now.since(at)
     }
 
-    fn silent_long(&self, now: Moment, box_id: &BoxId) -> bool {
-        let heard_at = self.lock().peers.get(box_id).map_or(self.started, |state| state.heard_at);
-        now.since(heard_at) > SILENT_TIME
+    fn is_long_unresponsive(&self, now: Moment, box_id: &BoxId) -> bool {
+        let last_heartbeat =
+            self.lock().peers.get(box_id).map_or(self.started, |state| state.last_heartbeat);
+        now.since(last_heartbeat) > UNRESPONSIVE_TIMEOUT
     }
 }
 
-/// What this box says of itself.
-pub fn own_beat(ctx: &ShardContext, keepers: &[Arc<ShardKeeper>]) -> ShardHeartbeat {
+/// Returns this box's heartbeat, without loads and usage.
+pub fn local_heartbeat(ctx: &ShardContext, keepers: &[Arc<ShardKeeper>]) -> ShardHeartbeat {
     let served = keepers.iter().filter_map(|keeper| {
         let token = keeper.served_token()?;
         Some(ServedShard { shard: keeper.shard().get(), token: token.get() })
@@ -240,50 +250,51 @@
         leases: ctx.held_leases(),
         wall_ms: wall_time().millis(),
         usage: Vec::new(),
-        work: ctx.work.own(),
+        work: ctx.backlog.local(),
         loads: Vec::new(),
         taking_over: keepers
             .iter()
-            .filter(|keeper| keeper.is_forming())
+            .filter(|keeper| keeper.is_taking_over())
             .map(|keeper| keeper.shard().get())
             .collect(),
     }
 }
 
-/// Takes the beat of a box that calls this one.
-pub fn take_beat(ctx: &ShardContext, beat: &ShardHeartbeat) {
-    hear_beat(ctx, beat);
-    if let Ok(box_id) = beat.box_id.parse() {
-        ctx.peers.beaten(ctx.view.now(), &box_id);
+/// Handles a heartbeat from a box that calls this one.
+pub fn handle_peer_heartbeat(ctx: &ShardContext, heartbeat: &ShardHeartbeat) {
+    apply_heartbeat(ctx, heartbeat);
+    if let Ok(box_id) = heartbeat.box_id.parse() {
+        ctx.peers.record_call(ctx.view.now(), &box_id);
     }
 }
 
-/// Takes what another box says of itself.
-pub fn hear_beat(ctx: &ShardContext, beat: &ShardHeartbeat) {
+/// Applies the state that another box reports.
+pub fn apply_heartbeat(ctx: &ShardContext, heartbeat: &ShardHeartbeat) {
     let now = ctx.view.now();
-    ctx.peers.heard(now, beat);
-    ctx.work.heard(now, beat);
-    ctx.view.usage.merge(&beat.usage);
-    if let Ok(box_id) = beat.box_id.parse()
-        && beat.wall_ms > 0
+    ctx.peers.record_heartbeat(now, heartbeat);
+    ctx.backlog.record_report(now, heartbeat);
+    ctx.view.usage.merge(&heartbeat.usage);
+    if let Ok(box_id) = heartbeat.box_id.parse()
+        && heartbeat.wall_ms > 0
     {
-        ctx.view.usage.record_peer_time(now, &box_id, UnixTime::new(beat.wall_ms));
+        ctx.view.usage.record_peer_time(now, &box_id, UnixTime::new(heartbeat.wall_ms));
     }
 }
 
-/// Whether this box has what only a call of its own tells another one.
-fn has_more_to_tell(ctx: &ShardContext, other: &BoxId) -> bool {
-    !told_loads(ctx, other).is_empty() || ctx.usage_told.untold(ctx, other).is_some()
+/// Returns whether this box has updates for another one that only its own heartbeat carries.
+fn has_pending_updates(ctx: &ShardContext, other: &BoxId) -> bool {
+    !loads_for_peer(ctx, other).is_empty() || ctx.usage_sync.pending_cells(ctx, other).is_some()
 }
 
-/// The boxes that this one calls: those at work, if it is one of them itself.
-fn called_boxes(ctx: &ShardContext, now: Moment) -> Vec<StorageBox> {
-    let duties = ctx.view.assignments();
+/// Returns the boxes to call: the other active boxes if this one is active, all others while
+/// standby boxes are called.
+fn heartbeat_peers(ctx: &ShardContext, now: Moment) -> Vec<StorageBox> {
+    let assignments = ctx.view.assignments();
     if ctx.peers.calls_standby(now) {
-        let others = duties.boxes().filter(|copy| copy.box_id != ctx.me.box_id);
+        let others = assignments.boxes().filter(|copy| copy.box_id != ctx.me.box_id);
         return others.cloned().collect();
     }
-    let active = duties.active_boxes();
+    let active = assignments.active_boxes();
     if active.iter().all(|copy| copy.box_id != ctx.me.box_id) {
         return Vec::new();
     }
@@ -291,57 +302,62 @@
     others.cloned().collect()
 }
 
-/// Sends beats to all other boxes at work until the box ends.
-pub async fn send_beats(ctx: Arc<ShardContext>, keepers: Arc<KeeperSet>) {
+/// Sends heartbeats to the other boxes until the box stops.
+pub async fn run_heartbeats(ctx: Arc<ShardContext>, keepers: Arc<KeeperSet>) {
     let mut turn: u64 = 0;
-    let mut has_news = true;
+    let mut has_updates = true;
     loop {
         turn += 1;
         let now = ctx.view.now();
-        ctx.work.sample(keepers.all());
+        ctx.backlog.sample(keepers.all());
         ctx.view.usage.record_peer_time(now, &ctx.me.box_id, wall_time());
         ctx.view.usage.forget(now);
-        for other in called_boxes(&ctx, now) {
-            if ctx.peers.silent_long(now, &other.box_id) && !turn.is_multiple_of(SILENT_BEATS) {
+        for other in heartbeat_peers(&ctx, now) {
+            if ctx.peers.is_long_unresponsive(now, &other.box_id)
+                && !turn.is_multiple_of(UNRESPONSIVE_SKIP_FACTOR)
+            {
                 continue;
             }
-            if !has_news
-                && ctx.peers.has_beaten(now, &other.box_id)
-                && !has_more_to_tell(&ctx, &other.box_id)
+            if !has_updates
+                && ctx.peers.called_recently(now, &other.box_id)
+                && !has_pending_updates(&ctx, &other.box_id)
             {
                 continue;
             }
-            tokio::spawn(send_beat(Arc::clone(&ctx), Arc::clone(&keepers), other));
+            tokio::spawn(send_heartbeat(Arc::clone(&ctx), Arc::clone(&keepers), other));
         }
-        has_news = time::timeout(BEAT_EVERY, ctx.news.notified()).await.is_ok();
+        has_updates = time::timeout(HEARTBEAT_INTERVAL, ctx.heartbeat_due.notified()).await.is_ok();
     }
 }
 
-/// Sends one beat, and takes what its answer says.
-pub async fn send_beat(ctx: Arc<ShardContext>, keepers: Arc<KeeperSet>, other: StorageBox) {
-    let asked_at = time::Instant::now();
-    let mut beat = own_beat(&ctx, keepers.all());
-    beat.loads = told_loads(&ctx, &other.box_id);
-    let told = ctx.usage_told.untold(&ctx, &other.box_id);
-    if let Some((cells, _)) = &told {
-        beat.usage.clone_from(cells);
+/// Sends one heartbeat and applies the response.
+pub async fn send_heartbeat(ctx: Arc<ShardContext>, keepers: Arc<KeeperSet>, other: StorageBox) {
+    let called_at = time::Instant::now();
+    let mut heartbeat = local_heartbeat(&ctx, keepers.all());
+    heartbeat.loads = loads_for_peer(&ctx, &other.box_id);
+    let pending = ctx.usage_sync.pending_cells(&ctx, &other.box_id);
+    if let Some((cells, _)) = &pending {
+        heartbeat.usage.clone_from(cells);
     }
-    match ctx.ask(&other.address, BEAT_TIME, shard_request::Body::Heartbeat(beat)).await {
-        Ok(shard_response::Body::Heartbeat(beat)) => {
-            hear_beat(&ctx, &beat);
-            if let Some((_, told)) = told {
-                ctx.usage_told.note(told);
+    match ctx
+        .call_box(&other.address, HEARTBEAT_TIMEOUT, shard_request::Body::Heartbeat(heartbeat))
+        .await
+    {
+        Ok(shard_response::Body::Heartbeat(heartbeat)) => {
+            apply_heartbeat(&ctx, &heartbeat);
+            if let Some((_, mark)) = pending {
+                ctx.usage_sync.record_ack(mark);
             }
         }
         Ok(_) => {}
-        Err(CallError::NotSent { .. }) if asked_at.elapsed() < REFUSED_TIME => {
-            ctx.peers.refused(ctx.view.now(), &other.box_id);
-            ctx.peers.failed(ctx.view.now(), &other.box_id);
+        Err(CallError::NotSent { .. }) if called_at.elapsed() < REFUSAL_THRESHOLD => {
+            ctx.peers.record_refusal(ctx.view.now(), &other.box_id);
+            ctx.peers.record_failure(ctx.view.now(), &other.box_id);
         }
-        // Silence is what the table tells.
+        // Other boxes are considered unresponsive by the time since their last heartbeat.
         Err(error) => {
-            ctx.peers.failed(ctx.view.now(), &other.box_id);
-            log::debug!(target: "shard", peer:% = other.box_id, error:% = error; "beat unanswered");
+            ctx.peers.record_failure(ctx.view.now(), &other.box_id);
+            log::debug!(target: "shard", peer:% = other.box_id, error:% = error; "heartbeat failed");
         }
     }
 }
--- a/crates/shards/src/replicas.rs
+++ b/crates/shards/src/replicas.rs
@@ -1,7 +1,7 @@
-//! Keeps as many replicas of a service as the deployment was given, under the duty towards the platform's accounts.
+//! Orders replicas so that each service keeps its baseline count, under the accounting lease.
 //!
-//! What was given is written to the store once, from the list of targets as it is when the first holder of the duty
-//! looks; [`ReplicaPlan`] says what is ordered when.
+//! The baseline is written to the store once, from the target list as the first lease holder sees
+//! it. [`ReplicaPlan`] decides what is ordered when.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -12,144 +12,153 @@
 use platform::accounting::AccountingError;
 use replicas::{BaselineReplicas, OrderOutcome, ReplicaLimits, ReplicaOrder, ReplicaPlan};
 
-use crate::accounts::AccountDuty;
+use crate::accounting::AccountingWorker;
 
-/// The list of targets must have been current for so long before it tells what was given: all targets of a deployment
-/// that starts are there by then.
-const FIRST_LOOK: Duration = Duration::from_secs(5);
+/// Minimum time since start before the target list is taken as the baseline, so that all targets
+/// of a new deployment are listed.
+const MIN_BASELINE_DELAY: Duration = Duration::from_secs(5);
 
-/// The replicas of all services that may be ordered.
+/// The replicas of all services with replica limits.
 #[derive(Debug, Default)]
-pub(crate) struct ReplicaKeeper {
+pub(crate) struct ReplicaManager {
     services: HashMap<ServiceName, ServiceReplicas>,
-    /// The token under which this box acted last.
+    /// The token of the last step.
     token: Option<FencingToken>,
 }
 
 #[derive(Debug, Default)]
 struct ServiceReplicas {
-    given: Option<BaselineReplicas>,
+    baseline: Option<BaselineReplicas>,
     plan: ReplicaPlan,
 }
 
-fn given_object(service: &ServiceName) -> String {
+fn baseline_object(service: &ServiceName) -> String {
     format!("replicas-{service}")
 }
 
-impl ReplicaKeeper {
-    /// Orders what is due.
-    pub async fn step(&mut self, duty: &mut AccountDuty) {
-        let token = duty.token();
+impl ReplicaManager {
+    /// Sends the orders that are due.
+    pub async fn step(&mut self, worker: &mut AccountingWorker) {
+        let token = worker.token();
         if token.is_none() {
             return;
         }
         if token != self.token {
-            // Another box may have ordered meanwhile.
+            // Another box may have sent orders meanwhile.
             self.services.clear();
             self.token = token;
         }
         let services: Vec<(ServiceName, ReplicaLimits)> = {
-            let table = duty.ctx.view.table();
+            let table = worker.ctx.view.table();
             let services = table.services();
             services.filter_map(|spec| Some((spec.name.clone(), spec.replicas?))).collect()
         };
         for (service, limits) in services {
-            self.services.entry(service.clone()).or_default().step(duty, &service, limits).await;
+            self.services.entry(service.clone()).or_default().step(worker, &service, limits).await;
         }
     }
 }
 
 impl ServiceReplicas {
-    async fn step(&mut self, duty: &mut AccountDuty, service: &ServiceName, limits: ReplicaLimits) {
-        let view = &duty.ctx.view;
-        let known = view.store_state().up && view.entry_grace().is_zero();
-        let listed = listed_replicas(duty, service);
-        let Some(given) = &self.given else {
-            if known {
-                self.given = learn_given(duty, service, &listed).await;
+    async fn step(
+        &mut self,
+        worker: &mut AccountingWorker,
+        service: &ServiceName,
+        limits: ReplicaLimits,
+    ) {
+        let view = &worker.ctx.view;
+        let is_current = view.store_state().up && view.entry_grace().is_zero();
+        let listed = listed_replicas(worker, service);
+        let Some(baseline) = &self.baseline else {
+            if is_current {
+                self.baseline = load_baseline(worker, service, &listed).await;
             }
             return;
         };
-        for order in self.plan.due(view.now(), given, limits, &listed, known) {
-            let Some(outcome) = send_order(duty, service, &order, &listed).await else { return };
-            self.plan.order_done(duty.ctx.view.now(), &order, outcome);
+        for order in self.plan.due(view.now(), baseline, limits, &listed, is_current) {
+            let Some(outcome) = send_order(worker, service, &order, &listed).await else { return };
+            self.plan.order_done(worker.ctx.view.now(), &order, outcome);
         }
     }
 }
 
-/// The replicas that serve now, by domain.
-fn listed_replicas(duty: &AccountDuty, service: &ServiceName) -> BTreeMap<DomainId, u32> {
+/// Returns the number of serving replicas by domain.
+fn listed_replicas(worker: &AccountingWorker, service: &ServiceName) -> BTreeMap<DomainId, u32> {
     let mut listed = BTreeMap::new();
-    for record in duty.ctx.view.target_table().of_service(service).filter(|record| !record.leaving)
+    for record in
+        worker.ctx.view.target_table().of_service(service).filter(|record| !record.leaving)
     {
         *listed.entry(record.domain.clone()).or_default() += 1;
     }
     listed
 }
 
-/// What the service was given: as the store has it, or else what is listed, written there first.
-async fn learn_given(
-    duty: &AccountDuty,
+/// Returns the baseline of the service from the store; without one, stores the listed counts
+/// first.
+async fn load_baseline(
+    worker: &AccountingWorker,
     service: &ServiceName,
     listed: &BTreeMap<DomainId, u32>,
 ) -> Option<BaselineReplicas> {
-    let view = &duty.ctx.view;
-    let name = given_object(service);
+    let view = &worker.ctx.view;
+    let name = baseline_object(service);
     view.metrics.store_call(Kind::Leases, StoreCall::Read);
     let read = view.store.get(Kind::Leases, &name).await;
-    let given = match read {
+    let baseline = match read {
         Ok(Some(stored)) => stored.parse::<BaselineReplicas>().map_err(|error| error.to_string()),
-        Ok(None) if listed.is_empty() || view.now().since(ids::Moment::START) < FIRST_LOOK => {
+        Ok(None)
+            if listed.is_empty() || view.now().since(ids::Moment::START) < MIN_BASELINE_DELAY =>
+        {
             return None;
         }
         Ok(None) => {
-            let given = BaselineReplicas { domains: listed.clone() };
+            let baseline = BaselineReplicas { domains: listed.clone() };
             view.metrics.store_call(Kind::Leases, StoreCall::Write);
-            let written = view.store.create(Kind::Leases, &name, &given).await;
-            written.map(|_revision| given).map_err(|error| error.to_string())
+            let written = view.store.create(Kind::Leases, &name, &baseline).await;
+            written.map(|_revision| baseline).map_err(|error| error.to_string())
         }
         Err(error) => Err(error.to_string()),
     };
-    match given {
-        Ok(given) => {
+    match baseline {
+        Ok(baseline) => {
             log::info!(
-                target: "accounts", service:% = service, domains = given.domains.len(),
-                replicas = given.domains.values().sum::<u32>();
-                "replicas given"
+                target: "accounts", service:% = service, domains = baseline.domains.len(),
+                replicas = baseline.domains.values().sum::<u32>();
+                "replica baseline"
             );
-            Some(given)
+            Some(baseline)
         }
         Err(error) => {
-            log::debug!(target: "accounts", service:% = service, error = error.as_str(); "replicas given not known");
+            log::debug!(target: "accounts", service:% = service, error = error.as_str(); "replica baseline not read");
             None
         }
     }
 }
 
-/// Sends one order; `None` when the duty is not this box's any more.
+/// Sends one order; `None` when this box no longer holds the lease.
 async fn send_order(
-    duty: &mut AccountDuty,
+    worker: &mut AccountingWorker,
     service: &ServiceName,
     order: &ReplicaOrder,
     listed: &BTreeMap<DomainId, u32>,
 ) -> Option<OrderOutcome> {
-    let hand = duty.hand()?;
-    let sent = duty.client.order_replicas(&hand, service, &order.domain, order.desired).await;
-    duty.note_call(sent);
+    let holder = worker.lease_holder()?;
+    let sent = worker.client.order_replicas(&holder, service, &order.domain, order.desired).await;
+    worker.record_call(sent);
     let outcome = match sent {
         Ok(()) => OrderOutcome::Taken,
         Err(AccountingError::NoCapacity | AccountingError::Refused(_)) => OrderOutcome::NoCapacity,
         Err(AccountingError::NoAnswer | AccountingError::Unavailable(_)) => OrderOutcome::Failed,
     };
-    let word = match outcome {
+    let label = match outcome {
         OrderOutcome::Taken => "taken",
         OrderOutcome::NoCapacity => "none to be had",
         OrderOutcome::Failed => "failed",
     };
-    duty.ctx.view.metrics.count_outcome("replica_order", word);
+    worker.ctx.view.metrics.count_outcome("replica_order", label);
     log::info!(
         target: "accounts", service:% = service, domain:% = order.domain, desired = order.desired,
-        listed = listed.get(&order.domain).copied().unwrap_or_default(), token = hand.token.get(),
+        listed = listed.get(&order.domain).copied().unwrap_or_default(), token = holder.token.get(),
         outcome = sent.err().map_or("taken".to_owned(), |error| error.to_string()).as_str();
         "replicas ordered"
     );
--- a/crates/shards/src/reports.rs
+++ b/crates/shards/src/reports.rs
@@ -1,8 +1,8 @@
-//! Reports how much customers have used the service, once for each window, under the duty towards the accounts.
+//! Reports the usage of customers, once per window, under the accounting lease.
 //!
-//! Entry boxes tell their counts to the box that tells them of the store, and that one passes them on with its beats to
-//! the holder of the duty. What is reported is [`ReportPlan`]'s; this module carries it out: reads and writes the
-//! object of the last report, and sends.
+//! Entry boxes report their counts to their feed source, which forwards them in its heartbeats to
+//! the lease holder. [`ReportPlan`] decides what to report; this module reads and writes the
+//! object of the last report and sends reports.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
@@ -17,107 +17,110 @@
 };
 use wire::peer::UsageCell;
 
-use crate::accounts::AccountDuty;
-use crate::claim::DutySubject;
+use crate::accounting::AccountingWorker;
+use crate::claim::LeaseSubject;
 use crate::context::ShardContext;
 
-/// Name of the object that holds the last report, among the leases.
+/// Name of the object that holds the last report, stored among the leases.
 const REPORT_OBJECT: &str = "usage-report";
-/// Pause after a call that did not come to its end.
-const AGAIN_PAUSE: Duration = Duration::from_millis(300);
+/// Delay after a failed call.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// How far a receiver has been told, by its name and token: under another token it may have lost what it knew.
+/// The table version that a receiver has acknowledged. It is valid for one token, since a new
+/// holder may have lost its state.
 #[derive(Debug, Clone)]
-pub struct ToldMark {
+pub struct SyncMark {
     receiver: BoxId,
     token: FencingToken,
     version: TableVersion,
 }
 
-/// What the box that reports use has been told by this one.
+/// The usage state that the reporting box has acknowledged to this one.
 #[derive(Debug, Default)]
-pub struct UsageTold(Mutex<Option<ToldMark>>);
+pub struct UsageSync(Mutex<Option<SyncMark>>);
 
-impl UsageTold {
-    /// What `receiver` is to be told, if it is the one that reports; and the mark to set once it has heard.
-    pub fn untold(
+impl UsageSync {
+    /// Returns the cells that `receiver` lacks if it holds the accounting lease, and the mark to
+    /// record once it has acknowledged them.
+    pub fn pending_cells(
         &self,
         ctx: &ShardContext,
         receiver: &BoxId,
-    ) -> Option<(Vec<UsageCell>, ToldMark)> {
+    ) -> Option<(Vec<UsageCell>, SyncMark)> {
         ctx.view.usage.length()?;
-        let holder = ctx.peers.lease_note(&DutySubject::Accounts.to_string())?;
+        let holder = ctx.peers.lease_report(&LeaseSubject::Accounts.to_string())?;
         if holder.holder != *receiver {
             return None;
         }
-        let known = self.0.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        let known = known.filter(|mark| mark.receiver == *receiver && mark.token == holder.token);
-        let version = known.map(|mark| mark.version).unwrap_or_default();
+        let acknowledged = self.0.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let acknowledged =
+            acknowledged.filter(|mark| mark.receiver == *receiver && mark.token == holder.token);
+        let version = acknowledged.map(|mark| mark.version).unwrap_or_default();
         let (cells, version) = ctx.view.usage.since(version);
-        let mark = ToldMark { receiver: receiver.clone(), token: holder.token, version };
+        let mark = SyncMark { receiver: receiver.clone(), token: holder.token, version };
         Some((cells, mark))
     }
 
-    /// Notes what a receiver has heard; an answer that was overtaken by another changes nothing.
-    pub fn note(&self, mark: ToldMark) {
-        let mut known = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let is_older = known.as_ref().is_some_and(|known| {
-            known.receiver == mark.receiver
-                && (known.token, known.version) >= (mark.token, mark.version)
+    /// Records what a receiver has acknowledged; ignores an older mark.
+    pub fn record_ack(&self, mark: SyncMark) {
+        let mut acknowledged = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        let is_older = acknowledged.as_ref().is_some_and(|acknowledged| {
+            acknowledged.receiver == mark.receiver
+                && (acknowledged.token, acknowledged.version) >= (mark.token, mark.version)
         });
         if !is_older {
-            *known = Some(mark);
+            *acknowledged = Some(mark);
         }
     }
 }
 
-/// The reports of use, as one holder of the duty makes them.
+/// Sends usage reports while this box holds the lease.
 #[derive(Debug)]
 pub(crate) struct UsageReporter {
     plan: ReportPlan,
-    /// The token under which this box acted last.
+    /// The token of the last step.
     token: Option<FencingToken>,
-    /// Before this moment nothing is tried again.
+    /// Earliest time of the next action.
     pause_until: Moment,
 }
 
 impl UsageReporter {
-    /// A reporter that knows of no report; `None` where nobody wants reports.
+    /// Creates a reporter without a known last report; `None` if reports are not configured.
     pub fn new(ctx: &ShardContext) -> Option<Self> {
         let usage = &ctx.view.usage;
         let length = usage.length()?;
         let times = ReportTimes::new(length, ctx.settings.usage_late);
-        // Nothing was served before the deployment began.
+        // No usage precedes the start of the deployment.
         let first = length.window_of(usage.time_at(ctx.view.now()));
         let plan = ReportPlan::new(times, first);
         Some(Self { plan, token: None, pause_until: Moment::START })
     }
 
-    /// Does what is due next.
-    pub async fn step(&mut self, duty: &mut AccountDuty) {
-        let now = duty.ctx.view.now();
-        let token = duty.token();
-        let without_customers = duty.ctx.view.table().customers().is_none();
+    /// Runs the next action that is due.
+    pub async fn step(&mut self, worker: &mut AccountingWorker) {
+        let now = worker.ctx.view.now();
+        let token = worker.token();
+        let without_customers = worker.ctx.view.table().customers().is_none();
         if token.is_none() || now < self.pause_until || without_customers {
             return;
         }
         if token != self.token {
-            // Others may have reported meanwhile.
+            // Another box may have reported meanwhile.
             self.plan.begin_anew();
             self.token = token;
         }
-        let all_heard = all_heard(&duty.ctx);
-        let time = duty.ctx.view.usage.time_at(now);
-        let went_on = match self.plan.poll(time, all_heard) {
+        let all_heard = all_peers_recent(&worker.ctx);
+        let time = worker.ctx.view.usage.time_at(now);
+        let succeeded = match self.plan.poll(time, all_heard) {
             None => true,
-            Some(ReportAction::Read) => self.read(&duty.ctx).await,
+            Some(ReportAction::Read) => self.read(&worker.ctx).await,
             Some(ReportAction::Commit { window, expect }) => {
-                self.fix(&duty.ctx, window, expect, all_heard).await
+                self.commit(&worker.ctx, window, expect, all_heard).await
             }
-            Some(ReportAction::Send(report)) => self.send(duty, report).await,
+            Some(ReportAction::Send(report)) => self.send(worker, report).await,
         };
-        if !went_on {
-            self.pause_until = duty.ctx.view.now() + AGAIN_PAUSE;
+        if !succeeded {
+            self.pause_until = worker.ctx.view.now() + RETRY_DELAY;
         }
     }
 
@@ -127,7 +130,7 @@
             Ok(Some(stored)) => read_report(&stored),
             Ok(None) => StoreOutcome::Absent,
             Err(error) => {
-                log::debug!(target: "usage", error:% = error; "last report not read");
+                log::debug!(target: "usage", error:% = error; "last usage report not read");
                 StoreOutcome::NotApplied
             }
         };
@@ -136,7 +139,7 @@
         done
     }
 
-    async fn fix(
+    async fn commit(
         &mut self,
         ctx: &ShardContext,
         window: UsageWindow,
@@ -156,7 +159,7 @@
             target: "usage", window = window.get(), customers = report.counts.len(),
             requests = report.counts.values().sum::<u64>(), all_heard = all_heard,
             outcome = written.as_ref().err().map_or("fixed".to_owned(), ToString::to_string).as_str();
-            "report of use"
+            "usage report"
         );
         let outcome = match written {
             Ok(revision) => StoreOutcome::Holds(ObjectVersion::new(revision), report),
@@ -168,11 +171,12 @@
         done
     }
 
-    async fn send(&mut self, duty: &mut AccountDuty, report: UsageReport) -> bool {
-        let Some(hand) = duty.hand() else { return false };
-        let sent = duty.client.report_usage(&hand, report.window.get(), &report.counts).await;
-        duty.note_call(sent);
-        let (outcome, word) = match sent {
+    async fn send(&mut self, worker: &mut AccountingWorker, report: UsageReport) -> bool {
+        let Some(lease_holder) = worker.lease_holder() else { return false };
+        let sent =
+            worker.client.report_usage(&lease_holder, report.window.get(), &report.counts).await;
+        worker.record_call(sent);
+        let (outcome, label) = match sent {
             Ok(()) => (SendOutcome::Taken, "taken"),
             Err(AccountingError::Refused(_) | AccountingError::NoCapacity) => {
                 (SendOutcome::Refused, "refused")
@@ -181,34 +185,35 @@
                 (SendOutcome::Failed, "failed")
             }
         };
-        let metrics = &duty.ctx.view.metrics;
-        metrics.count_outcome("usage_report", word);
+        let metrics = &worker.ctx.view.metrics;
+        metrics.count_outcome("usage_report", label);
         if outcome == SendOutcome::Taken {
             metrics.window_reported(report.window.get());
         }
         log::info!(
-            target: "usage", window = report.window.get(), token = hand.token.get(),
+            target: "usage", window = report.window.get(), token = lease_holder.token.get(),
             outcome = sent.err().map_or("taken".to_owned(), |error| error.to_string()).as_str();
-            "report of use sent"
+            "usage report sent"
         );
         self.plan.send_done(report.window, outcome);
         outcome != SendOutcome::Failed
     }
 }
 
-/// Whether all other boxes at work were heard just now, and so have told what they know of use.
-fn all_heard(ctx: &ShardContext) -> bool {
+/// Returns whether all other active boxes sent a heartbeat recently, and so have reported their
+/// usage counts.
+fn all_peers_recent(ctx: &ShardContext) -> bool {
     let boxes: Vec<BoxId> =
         ctx.view.assignments().active_boxes().iter().map(|copy| copy.box_id.clone()).collect();
     let others = boxes.iter().filter(|box_id| **box_id != ctx.me.box_id);
-    ctx.peers.all_heard(ctx.view.now(), others)
+    ctx.peers.all_recent(ctx.view.now(), others)
 }
 
 fn read_report(stored: &Stored) -> StoreOutcome {
     match stored.parse::<UsageReport>() {
         Ok(report) => StoreOutcome::Holds(ObjectVersion::new(stored.revision), report),
         Err(error) => {
-            log::warn!(target: "usage", error:% = error; "last report refused");
+            log::warn!(target: "usage", error:% = error; "last usage report is invalid");
             StoreOutcome::NotApplied
         }
     }
--- a/crates/shards/src/reward.rs
+++ b/crates/shards/src/reward.rs
@@ -1,4 +1,4 @@
-//! Reward calls: the request whose signature becomes a sample's score.
+//! Reward calls: requests whose response signature becomes a sample's score.
 
 use std::sync::{Mutex, PoisonError};
 
@@ -16,34 +16,34 @@
 
 use crate::context::ShardContext;
 
-/// Calls that may be made elsewhere while they go on, in a thousand: ten times as many as take long
-/// where nothing is wrong, and little work more where all targets are slow.
-const SECOND_CALLS: u64 = 100;
-/// Such calls that may be made at one moment: as many as a group of samples has items.
-const SECOND_CALLS_AT_ONCE: u64 = 16;
+/// Hedged calls per thousand calls. Allows for several times the normal share of slow calls, but
+/// adds little load if all targets are slow.
+const HEDGES_PER_THOUSAND: u64 = 100;
+/// Maximum burst of hedged calls: the number of items in a group of samples.
+const MAX_HEDGE_BURST: u64 = 16;
 
-/// How many reward calls may be made at a second target while the first goes on.
+/// Limits the rate of hedged reward calls.
 #[derive(Debug)]
-pub struct SecondCalls(Mutex<RetryBudget>);
+pub struct HedgeLimiter(Mutex<RetryBudget>);
 
-impl Default for SecondCalls {
+impl Default for HedgeLimiter {
     fn default() -> Self {
-        Self(Mutex::new(RetryBudget::new(SECOND_CALLS, SECOND_CALLS_AT_ONCE)))
+        Self(Mutex::new(RetryBudget::new(HEDGES_PER_THOUSAND, MAX_HEDGE_BURST)))
     }
 }
 
-impl SecondCalls {
-    fn first(&self) {
+impl HedgeLimiter {
+    fn record_call(&self) {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).record_attempt();
     }
 
-    fn may_make(&self) -> bool {
+    fn try_hedge(&self) -> bool {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).try_retry()
     }
 }
 
-/// Makes one reward call, at a second and a third target too if it takes long; the first good answer
-/// counts.
+/// Makes one reward call, hedged at a second and a third target if it takes long. The first
+/// successful response counts.
 pub async fn call_reward(ctx: &ShardContext, reward: &RewardCall) -> RewardOutcome {
     let table = ctx.view.table();
     let Some(route) = table.find(&reward.host, &reward.path) else {
@@ -51,17 +51,17 @@
         return RewardOutcome::Missed;
     };
     let plan = RewardHedgePlan::new(route.goal, route.timeout);
-    let begun = Instant::now();
-    let deadline = begun + plan.limit();
+    let started = Instant::now();
+    let deadline = started + plan.limit();
     let mut calls = FuturesUnordered::new();
     calls.push(call_once(ctx, reward, route, deadline));
-    ctx.second_calls.first();
+    ctx.hedge_limiter.record_call();
     let mut made = 1;
     let mut worst = RewardOutcome::Missed;
     loop {
         let next = plan.next_call(made);
-        // Where there is no next call, the branch that waits for this moment is off.
-        let next_at = begun + next.unwrap_or_default();
+        // Without a next call the branch that uses this time is disabled.
+        let next_at = started + next.unwrap_or_default();
         tokio::select! {
             ended = calls.next() => match ended {
                 Some(end @ RewardOutcome::Scored(_)) => return end,
@@ -71,8 +71,8 @@
             },
             () = time::sleep_until(next_at), if next.is_some() => {
                 made += 1;
-                // Calls that all failed are made again by whoever asked.
-                if !calls.is_empty() && ctx.second_calls.may_make() {
+                // If all calls have failed, the caller decides whether to retry.
+                if !calls.is_empty() && ctx.hedge_limiter.try_hedge() {
                     calls.push(call_once(ctx, reward, route, deadline));
                 }
             }
@@ -80,7 +80,7 @@
     }
 }
 
-/// One call at one target.
+/// Makes one call at one target.
 async fn call_once(
     ctx: &ShardContext,
     reward: &RewardCall,
@@ -88,37 +88,37 @@
     deadline: Instant,
 ) -> RewardOutcome {
     let attempts = route.attempts;
-    // One run a call, so that failures are counted as the targets answered them.
+    // Each call makes one attempt, so that every failure is counted.
     let route = Route { attempts: 1, ..route.clone() };
     let Ok(uri) = reward.path.parse::<Uri>() else { return RewardOutcome::Missed };
-    let mut sent = HeaderMap::new();
+    let mut header_map = HeaderMap::new();
     let (Ok(host), Ok(id)) =
         (HeaderValue::from_str(&reward.host), HeaderValue::from_str(&reward.id))
     else {
         return RewardOutcome::Missed;
     };
-    sent.insert(http::header::HOST, host);
-    sent.insert(headers::REQUEST_ID, id);
+    header_map.insert(http::header::HOST, host);
+    header_map.insert(headers::REQUEST_ID, id);
     let call = PlainCall {
         route: &route,
         request_id: &reward.id,
         method: Method::POST,
         uri,
-        headers: sent,
+        headers: header_map,
         body: Bytes::from(reward.body.clone()),
         deadline,
         is_background: true,
-        // It belongs to the system, which needs neither key nor customer for it.
+        // An internal call: it needs neither a key nor a customer.
         customer: None,
     };
     match call_plain(&ctx.view, call).await {
-        PlainOutcome::Answered(answer) if answer.status.is_success() => {
-            match headers::response_info(&answer.headers).signature {
+        PlainOutcome::Answered(response) if response.status.is_success() => {
+            match headers::response_info(&response.headers).signature {
                 Some(signature) => RewardOutcome::Scored(signature),
                 None => RewardOutcome::Missed,
             }
         }
-        PlainOutcome::Answered(answer) if answer.status.as_u16() == 500 => {
+        PlainOutcome::Answered(response) if response.status.as_u16() == 500 => {
             RewardOutcome::Failed { attempts }
         }
         PlainOutcome::Quarantined => RewardOutcome::Quarantined,
--- a/crates/shards/src/role.rs
+++ b/crates/shards/src/role.rs
@@ -1,4 +1,4 @@
-//! Start and stop of a keeping box.
+//! Starts and stops a storage box.
 
 use std::collections::HashSet;
 use std::io;
@@ -19,32 +19,33 @@
 use tokio_util::sync::CancellationToken;
 use wire::peer::{ShardHandOver, shard_request};
 
-use crate::accounts::keep_accounts;
-use crate::conductor::conduct;
+use crate::accounting::run_accounting;
 use crate::context::ShardContext;
 use crate::copies::OpenCopies;
 use crate::dispatch::dispatch_items;
-use crate::forming::keep_shard;
 use crate::handler::ShardHandler;
 use crate::keeper::ShardKeeper;
 use crate::keepers::KeeperSet;
-use crate::loads::tell_loads;
-use crate::peers::send_beats;
-
-/// Changes of targets gather for this long between two watches; each watch has its price. With the
-/// watch that follows, the proof that targets are current stays young enough for those who are told.
-const GATHER_TARGETS: Duration = Duration::from_millis(400);
-/// Pause after a failed try to tell the store where this box is.
-const REGISTER_PAUSE: Duration = Duration::from_millis(300);
-/// Longest wait for another box to take a shard that is handed over.
-const HAND_OVER_TIME: Duration = Duration::from_millis(500);
-/// A stopping box lives on for this long, so that others copy what they need from it.
-const STOP_TIME: Duration = Duration::from_millis(1_500);
-/// How often a retiring box looks whether it still has a duty.
-const RETIRE_LOOK: Duration = Duration::from_millis(300);
-
-/// Runs a keeping box until `stop` returns. `listener` takes other boxes' calls at the address
-/// that the settings name.
+use crate::loads::publish_loads;
+use crate::peers::run_heartbeats;
+use crate::rollout::coordinate_rollouts;
+use crate::takeover::run_shard;
+
+/// Delay between two watches of the targets, which batches their changes: each watch is billed.
+/// Together with the following watch it stays within the freshness bound of the boxes served by
+/// the feed.
+const TARGET_BATCH_DELAY: Duration = Duration::from_millis(400);
+/// Delay before this box retries to register its address in the store.
+const REGISTER_RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Timeout of a hand-over request to another box.
+const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long a stopping box stays up so that other boxes can copy data from it.
+const STOP_DELAY: Duration = Duration::from_millis(1_500);
+/// Interval at which a retiring box checks whether it still has an assignment.
+const RETIRE_POLL_INTERVAL: Duration = Duration::from_millis(300);
+
+/// Runs a storage box until `stop` returns. `listener` accepts connections of other boxes at the
+/// advertised address.
 pub async fn run_storage(
     settings: StorageSettings,
     listener: TcpListener,
@@ -54,74 +55,79 @@
     let store = ObjectStore::new(&node.store.to_string()).map_err(io::Error::other)?;
     let folder = CopyFolder::open(&settings.data_dir).map_err(io::Error::other)?;
     let view = Arc::new(NodeView::new(node.clone(), store));
-    let end = CancellationToken::new();
+    let shutdown = CancellationToken::new();
     let link_settings = LinkSettings { me: node.box_id.clone(), key: node.key.clone() };
-    let links = LinkPool::new(link_settings, end.clone());
+    let links = LinkPool::new(link_settings, shutdown.clone());
     let copies = OpenCopies::new(folder);
     let ctx = Arc::new(ShardContext::new(Arc::clone(&view), settings, links, copies));
     log::info!(target: "shard", peer:% = node.peer, store:% = node.store, shards = node.shards; "started");
-    start_followers(&ctx, &end);
+    start_watchers(&ctx, &shutdown);
     tokio::spawn(register(Arc::clone(&ctx)));
     let keepers = Arc::new(KeeperSet::default());
     let handler = ShardHandler::new(Arc::clone(&ctx), Arc::clone(&keepers));
-    tokio::spawn(serve_links(listener, node.key.clone(), handler, end.clone()));
-    tokio::spawn(send_beats(Arc::clone(&ctx), Arc::clone(&keepers)));
-    tokio::spawn(tell_loads(Arc::clone(&ctx), Arc::clone(&keepers)));
-    tokio::spawn(begin_shards(Arc::clone(&ctx), Arc::clone(&keepers)));
-    tokio::spawn(conduct(Arc::clone(&ctx), Arc::clone(&keepers)));
-    tokio::spawn(keep_accounts(Arc::clone(&ctx), Arc::clone(&keepers)));
-    tokio::spawn(retire_when_asked(Arc::clone(&ctx), Arc::clone(&keepers)));
-    tokio::spawn(sync_suspects(Arc::clone(&view), true, end.clone()));
+    tokio::spawn(serve_links(listener, node.key.clone(), handler, shutdown.clone()));
+    tokio::spawn(run_heartbeats(Arc::clone(&ctx), Arc::clone(&keepers)));
+    tokio::spawn(publish_loads(Arc::clone(&ctx), Arc::clone(&keepers)));
+    tokio::spawn(start_shards(Arc::clone(&ctx), Arc::clone(&keepers)));
+    tokio::spawn(coordinate_rollouts(Arc::clone(&ctx), Arc::clone(&keepers)));
+    tokio::spawn(run_accounting(Arc::clone(&ctx), Arc::clone(&keepers)));
+    tokio::spawn(watch_retirement(Arc::clone(&ctx), Arc::clone(&keepers)));
+    tokio::spawn(sync_suspects(Arc::clone(&view), true, shutdown.clone()));
     tokio::spawn(log_counters(Arc::clone(&view)));
     if let Some(address) = node.metrics {
         tokio::spawn(serve_metrics(view, address));
     }
     stop.await?;
-    stop_calmly(&ctx, keepers.all()).await;
-    end.cancel();
+    stop_gracefully(&ctx, keepers.all()).await;
+    shutdown.cancel();
     Ok(())
 }
 
-/// Keeps the shards, once their number is known.
-async fn begin_shards(ctx: Arc<ShardContext>, keepers: Arc<KeeperSet>) {
-    for keeper in keepers.begin(&ctx).await {
-        tokio::spawn(keep_shard(Arc::clone(&ctx), Arc::clone(keeper)));
+/// Starts the tasks of all shards once the shard count is agreed.
+async fn start_shards(ctx: Arc<ShardContext>, keepers: Arc<KeeperSet>) {
+    for keeper in keepers.start(&ctx).await {
+        tokio::spawn(run_shard(Arc::clone(&ctx), Arc::clone(keeper)));
         tokio::spawn(dispatch_items(Arc::clone(&ctx), Arc::clone(keeper)));
     }
 }
 
-fn start_followers(ctx: &Arc<ShardContext>, end: &CancellationToken) {
+fn start_watchers(ctx: &Arc<ShardContext>, shutdown: &CancellationToken) {
     let view = &ctx.view;
     let v = || Arc::clone(view);
-    let none = Duration::ZERO;
-    let mut config = KindWatcher::new(view, Kind::Configuration, none, ConfigSink(v()));
+    let no_delay = Duration::ZERO;
+    let mut config = KindWatcher::new(view, Kind::Configuration, no_delay, ConfigSink(v()));
     let targets = TargetSink::new(v());
-    let mut targets = KindWatcher::new(view, Kind::Targets, GATHER_TARGETS, targets);
-    let mut versions = KindWatcher::new(view, Kind::ModelVersions, none, VersionSink(v()));
-    let mut duties = KindWatcher::new(view, Kind::ClusterState, none, AssignmentSink(v()));
-    let retirements = RetireSink(Arc::clone(ctx));
-    let mut retirements = KindWatcher::new(view, Kind::Retirements, none, retirements);
-    let mut fed =
-        vec![config.feed(), targets.feed(), versions.feed(), duties.feed(), retirements.feed()];
+    let mut targets = KindWatcher::new(view, Kind::Targets, TARGET_BATCH_DELAY, targets);
+    let mut versions = KindWatcher::new(view, Kind::ModelVersions, no_delay, VersionSink(v()));
+    let mut assignments = KindWatcher::new(view, Kind::ClusterState, no_delay, AssignmentSink(v()));
+    let retirements = RetirementSink(Arc::clone(ctx));
+    let mut retirements = KindWatcher::new(view, Kind::Retirements, no_delay, retirements);
+    let mut feed_kinds = vec![
+        config.feed(),
+        targets.feed(),
+        versions.feed(),
+        assignments.feed(),
+        retirements.feed(),
+    ];
     if view.settings.evacuations {
         let sink = EvacuationSink(v());
-        let mut evacuations = KindWatcher::new(view, Kind::Evacuations, none, sink);
-        fed.push(evacuations.feed());
-        tokio::spawn(evacuations.run(end.clone()));
+        let mut evacuations = KindWatcher::new(view, Kind::Evacuations, no_delay, sink);
+        feed_kinds.push(evacuations.feed());
+        tokio::spawn(evacuations.run(shutdown.clone()));
     }
-    tokio::spawn(config.run(end.clone()));
-    tokio::spawn(targets.run(end.clone()));
-    tokio::spawn(versions.run(end.clone()));
-    tokio::spawn(duties.run(end.clone()));
-    tokio::spawn(retirements.run(end.clone()));
-    tokio::spawn(follow_feed(v(), ctx.links.clone(), fed, end.clone()));
+    tokio::spawn(config.run(shutdown.clone()));
+    tokio::spawn(targets.run(shutdown.clone()));
+    tokio::spawn(versions.run(shutdown.clone()));
+    tokio::spawn(assignments.run(shutdown.clone()));
+    tokio::spawn(retirements.run(shutdown.clone()));
+    tokio::spawn(follow_feed(v(), ctx.links.clone(), feed_kinds, shutdown.clone()));
 }
 
-/// Keeps which boxes are to be emptied.
+/// Tracks the boxes that are being retired.
 #[derive(Debug)]
-struct RetireSink(Arc<ShardContext>);
+struct RetirementSink(Arc<ShardContext>);
 
-impl KindSink for RetireSink {
+impl KindSink for RetirementSink {
     fn listed(&mut self, listing: &Listing) {
         let named: HashSet<BoxId> =
             listing.objects.iter().filter_map(|stored| stored.name.parse().ok()).collect();
@@ -131,7 +137,7 @@
     fn changed(&mut self, change: &Changed) {
         match change {
             Changed::Put(stored) => {
-                log::info!(target: "shard", peer = stored.name.as_str(); "box is to be emptied");
+                log::info!(target: "shard", peer = stored.name.as_str(); "box is being retired");
                 self.0.retiring().extend(stored.name.parse().ok());
             }
             Changed::Removed(name) => self.0.retiring().retain(|box_id| box_id.as_str() != name),
@@ -140,7 +146,7 @@
     }
 }
 
-/// Tells the store where this box is.
+/// Registers this box's address in the store.
 async fn register(ctx: Arc<ShardContext>) {
     let name = box_object(&ctx.me.box_id);
     loop {
@@ -165,76 +171,77 @@
             Ok(_revision) => return,
             Err(StoreError::Conflict(_)) => {}
             Err(error) => {
-                log::debug!(target: "shard", error:% = error; "not registered");
-                time::sleep(REGISTER_PAUSE).await;
+                log::debug!(target: "shard", error:% = error; "registration failed");
+                time::sleep(REGISTER_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Gives all shards to other boxes.
+/// Hands all shards served here over to other boxes.
 async fn hand_over(ctx: &ShardContext, keepers: &[Arc<ShardKeeper>]) {
     for keeper in keepers {
         let Some(served) = keeper.served() else { continue };
         let next = {
-            let duties = ctx.view.assignments();
-            let plan = duties.plan(keeper.shard()).map(|sighting| sighting.plan.clone());
+            let assignments = ctx.view.assignments();
+            let plan = assignments.plan(keeper.shard()).map(|observed| observed.plan.clone());
             plan.and_then(|plan| plan.copies.into_iter().find(|copy| copy.box_id != ctx.me.box_id))
         };
         let Some(next) = next else { continue };
-        keeper.end();
+        keeper.stop_serving();
         let body = shard_request::Body::HandOver(ShardHandOver {
             shard: keeper.shard().get(),
             token: served.epoch.token.get(),
             quiet_ms: 0,
         });
-        let asked = ctx.ask(&next.address, HAND_OVER_TIME, body).await;
+        let response = ctx.call_box(&next.address, HAND_OVER_TIMEOUT, body).await;
         log::info!(
             target: "shard", shard = keeper.shard().get(), peer:% = next.box_id,
-            outcome = if asked.is_ok() { "asked" } else { "not reached" };
+            outcome = if response.is_ok() { "asked" } else { "not reached" };
             "shard handed over"
         );
     }
 }
 
-async fn stop_calmly(ctx: &ShardContext, keepers: &[Arc<ShardKeeper>]) {
-    let asked = Instant::now();
+async fn stop_gracefully(ctx: &ShardContext, keepers: &[Arc<ShardKeeper>]) {
+    let started = Instant::now();
     log::info!(target: "shard", served = keepers.len(); "stopping");
     ctx.stopping.cancel();
     hand_over(ctx, keepers).await;
-    time::sleep(STOP_TIME.saturating_sub(asked.elapsed())).await;
-    log::info!(target: "shard", took_ms = whole_millis(asked.elapsed()); "stopped");
+    time::sleep(STOP_DELAY.saturating_sub(started.elapsed())).await;
+    log::info!(target: "shard", took_ms = whole_millis(started.elapsed()); "stopped");
 }
 
-/// Empties this box when the platform asks for it, and says so once nothing is owed here.
-async fn retire_when_asked(ctx: Arc<ShardContext>, keepers: Arc<KeeperSet>) {
+/// Hands shards over while this box is being retired, and reports completion once no plan names
+/// it.
+async fn watch_retirement(ctx: Arc<ShardContext>, keepers: Arc<KeeperSet>) {
     let name = ctx.me.box_id.to_string();
-    let mut told_active = false;
+    let mut reported_active = false;
     loop {
-        time::sleep(RETIRE_LOOK).await;
+        time::sleep(RETIRE_POLL_INTERVAL).await;
         if !ctx.retiring().contains(&ctx.me.box_id) {
-            told_active = false;
+            reported_active = false;
             continue;
         }
-        if !told_active {
-            told_active = tell_retirement(&ctx, &name, false).await;
+        if !reported_active {
+            reported_active = report_retirement(&ctx, &name, false).await;
         }
         hand_over(&ctx, keepers.all()).await;
-        if is_free(&ctx).await && tell_retirement(&ctx, &name, true).await {
+        if has_no_assignment(&ctx).await && report_retirement(&ctx, &name, true).await {
             return;
         }
     }
 }
 
-async fn tell_retirement(ctx: &ShardContext, name: &str, done: bool) -> bool {
+async fn report_retirement(ctx: &ShardContext, name: &str, done: bool) -> bool {
     ctx.view.metrics.store_call(Kind::Retirements, StoreCall::Write);
-    let told = ctx.view.store.retirement_status(name, done).await;
-    log::info!(target: "shard", done = done, outcome = if told.is_ok() { "told" } else { "failed" }; "retirement");
-    told.is_ok()
+    let reported = ctx.view.store.retirement_status(name, done).await;
+    log::info!(target: "shard", done = done, outcome = if reported.is_ok() { "told" } else { "failed" }; "retirement status");
+    reported.is_ok()
 }
 
-/// Whether no plan names this box, by a fresh listing.
-async fn is_free(ctx: &ShardContext) -> bool {
+/// Returns whether no plan names this box, according to a fresh listing.
+async fn has_no_assignment(ctx: &ShardContext) -> bool {
     if ctx.view.assignments().has_assignment(&ctx.me.box_id) {
         return false;
     }
