--- a/crates/shards/src/run.rs
+++ b/crates/shards/src/run.rs
@@ -18,20 +18,20 @@
 use crate::keeper::ShardKeeper;
 use crate::run_reason::RunReason;
 
-/// Longest silence of a run; a target that is dark is left after this.
-const SILENCE: Duration = Duration::from_millis(2_500);
-/// Events that gather before they are given to the log. Most texts are
-/// shorter, and are logged once, when they are listed.
+/// Timeout for the response head and for each chunk of the body.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Number of events per progress record in the log. Most texts are shorter and are logged once,
+/// when their result is listed.
 const PROGRESS_EVENTS: usize = 16;
-/// Events over which a run's pace is taken.
-const PACE_EVENTS: u32 = 6;
-/// A run moves when another engine is faster by this factor: less is within what the batch's
-/// size does to the pace, and a move costs a prompt read again.
+/// Number of events over which a run's time per event is measured.
+const RATE_EVENTS: u32 = 6;
+/// A run moves if another engine is faster by this factor. A smaller difference may come from the
+/// batch size, and a move repeats the prompt's prefill.
 const MOVE_FACTOR: f64 = 1.8;
-/// The factor for a text that is long already, and so will go on for long in the mean: the long
-/// ones decide when a step is whole.
+/// The factor for long texts. They have a long expected remainder and determine when a step
+/// completes.
 const LONG_MOVE_FACTOR: f64 = 1.25;
-/// Events from which on a text is long.
+/// Number of events from which a text counts as long.
 const LONG_EVENTS: u32 = 32;
 
 struct RunState<'a> {
@@ -43,13 +43,13 @@
     model: Option<ModelName>,
     version: Option<u64>,
     events: Vec<RunEvent>,
-    /// Events that were given to the log.
+    /// Number of events sent to the log.
     logged: usize,
-    /// When the pace was last taken, and at how many events.
-    paced_at: Option<(Instant, usize)>,
+    /// Time and event count of the last rate measurement.
+    rate_measured_at: Option<(Instant, usize)>,
 }
 
-/// Runs an item from its last whole event on; whatever came whole is in the answer.
+/// Runs an item from its last complete event on. The result contains all complete events received.
 pub async fn run_item(
     ctx: &ShardContext,
     keeper: &ShardKeeper,
@@ -66,91 +66,91 @@
         version: None,
         events: Vec::new(),
         logged: 0,
-        paced_at: None,
+        rate_measured_at: None,
     };
     let started = Instant::now();
     let reason = state.run().await;
-    state.note(reason, started);
+    state.record_end(reason, started);
     RunResult { outcome: reason.outcome(), events: state.events, logged: state.logged }
 }
 
 impl RunState<'_> {
     fn request(&self) -> Option<Request<Full<Bytes>>> {
         let item = self.spec.request()?;
-        let mut sent = HeaderMap::new();
+        let mut header_map = HeaderMap::new();
         for header in &item.headers {
             let name = HeaderName::from_bytes(header.name.as_bytes()).ok()?;
-            sent.insert(name, HeaderValue::from_str(&header.value).ok()?);
+            header_map.insert(name, HeaderValue::from_str(&header.value).ok()?);
         }
-        sent.insert(http::header::HOST, HeaderValue::from_str(&self.spec.job.host).ok()?);
-        sent.insert(headers::REQUEST_ID, HeaderValue::from_str(&item.id).ok()?);
-        self.name_customer(&mut sent);
-        headers::set_instance(&mut sent, &self.slot.instance);
+        header_map.insert(http::header::HOST, HeaderValue::from_str(&self.spec.job.host).ok()?);
+        header_map.insert(headers::REQUEST_ID, HeaderValue::from_str(&item.id).ok()?);
+        self.set_customer_header(&mut header_map);
+        headers::set_instance(&mut header_map, &self.slot.instance);
         if self.spec.events > 0 {
-            headers::set_last_event(&mut sent, self.spec.events);
+            headers::set_last_event(&mut header_map, self.spec.events);
         }
         let mut request = Request::new(Full::new(Bytes::from(item.body.clone())));
         *request.method_mut() = Method::POST;
         *request.uri_mut() = item.path.parse().ok()?;
-        *request.headers_mut() = sent;
+        *request.headers_mut() = header_map;
         Some(request)
     }
 
-    /// Names the job's customer to the engine, whatever the item's own headers say.
-    fn name_customer(&self, sent: &mut HeaderMap) {
+    /// Sets the customer header to the job's customer, overriding the item's own headers.
+    fn set_customer_header(&self, header_map: &mut HeaderMap) {
         let customer: Option<CustomerName> = self.spec.job.customer.parse().ok();
         if customer.is_some() || self.ctx.view.table().customers().is_some() {
-            headers::set_customer(sent, customer.as_ref());
+            headers::set_customer(header_map, customer.as_ref());
         }
     }
 
     async fn run(&mut self) -> RunReason {
         let Some(request) = self.request() else {
-            return RunReason::Unwritable;
+            return RunReason::InvalidRequest;
         };
-        let sent = self.ctx.view.pool.send(self.slot.address, request);
-        let answer = match time::timeout(SILENCE, sent).await {
+        let send = self.ctx.view.pool.send(self.slot.address, request);
+        let response = match time::timeout(SILENCE_TIMEOUT, send).await {
             Err(_elapsed) => {
                 self.ctx.view.pool.close_idle();
-                return RunReason::SilentBeforeHead;
+                return RunReason::TimeoutBeforeHead;
             }
             Ok(Err(SendError::NotSent(_))) => return RunReason::NotSent,
-            Ok(Err(SendError::LimitReached)) => return RunReason::NoRoom,
+            Ok(Err(SendError::LimitReached)) => return RunReason::ConnectionLimit,
             Ok(Err(SendError::Broken(_))) => return RunReason::BrokenBeforeHead,
-            Ok(Ok(answer)) => answer,
+            Ok(Ok(response)) => response,
         };
-        self.read(answer).await
+        self.read(response).await
     }
 
-    async fn read(&mut self, answer: TargetResponse) -> RunReason {
+    async fn read(&mut self, response: TargetResponse) -> RunReason {
         let view = &self.ctx.view;
-        let facts = headers::response_info(answer.headers());
+        let info = headers::response_info(response.headers());
         let item = self.spec.request().map_or("", |item| item.id.as_str());
-        if facts.request_id.as_deref().is_some_and(|id| id != item) {
-            return RunReason::OtherAnswer;
+        if info.request_id.as_deref().is_some_and(|id| id != item) {
+            return RunReason::WrongRequestId;
         }
-        if let Some(load) = facts.load {
+        if let Some(load) = info.load {
             view.target_table().record_load(view.now(), &self.slot.instance, load);
         }
-        match answer.status() {
+        match response.status() {
             StatusCode::MISDIRECTED_REQUEST => return RunReason::OtherTarget,
-            _ if facts.not_run => return RunReason::FullOrLoading,
+            _ if info.not_run => return RunReason::FullOrLoading,
             StatusCode::UNPROCESSABLE_ENTITY => return RunReason::Impossible,
             status if status.is_server_error() => {
                 return RunReason::TargetError;
             }
-            status if !status.is_success() => return RunReason::OddStatus,
+            status if !status.is_success() => return RunReason::UnexpectedStatus,
             _ => {}
         }
-        if facts.signature.is_none() {
+        if info.signature.is_none() {
             return RunReason::Unsigned;
         }
-        self.version = facts.version;
+        self.version = info.version;
         self.record_version();
-        if facts.version.is_some_and(|version| version < self.spec.job.min_version) {
+        if info.version.is_some_and(|version| version < self.spec.job.min_version) {
             return RunReason::WeightsTooOld;
         }
-        self.read_events(answer).await
+        self.read_events(response).await
     }
 
     fn record_version(&self) {
@@ -159,17 +159,17 @@
         self.ctx.view.target_table().record_version(&self.slot.instance, model, version);
     }
 
-    async fn read_events(&mut self, mut answer: TargetResponse) -> RunReason {
+    async fn read_events(&mut self, mut response: TargetResponse) -> RunReason {
         let mut reader = EventReader::default();
         loop {
-            let bytes = match time::timeout(SILENCE, answer.next()).await {
-                Err(_elapsed) => return RunReason::Silent,
+            let bytes = match time::timeout(SILENCE_TIMEOUT, response.next()).await {
+                Err(_elapsed) => return RunReason::BodyTimeout,
                 Ok(Err(_broken)) => return RunReason::Broken,
                 Ok(Ok(None)) => break,
                 Ok(Ok(Some(bytes))) => bytes,
             };
             let Ok(events) = reader.push(&bytes) else {
-                return RunReason::NoEvents;
+                return RunReason::InvalidEvents;
             };
             for event in events {
                 let expected = self.spec.events + u32::try_from(self.events.len()).unwrap_or(0) + 1;
@@ -186,62 +186,62 @@
                 self.events.push(RunEvent { data: event.data, version });
             }
             self.log_progress();
-            if self.take_pace() {
+            if self.should_move() {
                 return RunReason::SlowEngine;
             }
         }
         if reader.has_rest() {
-            return RunReason::EndedWithinEvent;
+            return RunReason::TruncatedEvent;
         }
-        answer.reuse();
+        response.reuse();
         RunReason::Complete
     }
 
-    /// Gives new events to the log now and then, so that a long text survives this box.
+    /// Logs new events in batches, so that another box can continue a long text.
     fn log_progress(&mut self) {
         if self.events.len() - self.logged < PROGRESS_EVENTS || self.spec.job.single_version {
             return;
         }
-        self.keeper.log(vec![self.spec.progress(&self.events, self.logged)]);
+        self.keeper.append(vec![self.spec.progress(&self.events, self.logged)]);
         self.logged = self.events.len();
     }
 
-    /// Takes the pace every few events. `true` when the run had better go on elsewhere.
-    fn take_pace(&mut self) -> bool {
+    /// Measures the time per event. Returns whether the run should move to another engine.
+    fn should_move(&mut self) -> bool {
         let now = Instant::now();
-        let Some((since, at)) = self.paced_at else {
-            self.paced_at = Some((now, self.events.len()));
+        let Some((since, at)) = self.rate_measured_at else {
+            self.rate_measured_at = Some((now, self.events.len()));
             return false;
         };
         let events = u32::try_from(self.events.len() - at).unwrap_or(u32::MAX);
-        if events < PACE_EVENTS {
+        if events < RATE_EVENTS {
             return false;
         }
-        self.paced_at = Some((now, self.events.len()));
-        let pace = now.duration_since(since) / events;
+        self.rate_measured_at = Some((now, self.events.len()));
+        let unit_time = now.duration_since(since) / events;
         let view = &self.ctx.view;
-        let mut board = view.target_table();
-        board.record_unit_time(&self.slot.instance, pace);
+        let mut targets = view.target_table();
+        targets.record_unit_time(&self.slot.instance, unit_time);
         let events = self.spec.events + u32::try_from(self.events.len()).unwrap_or(u32::MAX);
         let factor = if events >= LONG_EVENTS { LONG_MOVE_FACTOR } else { MOVE_FACTOR };
-        let need = self.need();
-        let faster = pace.div_f64(factor);
-        board.has_faster(view.now(), &self.slot.instance, faster, &need, &mut rand::rng())
+        let requirements = self.requirements();
+        let faster = unit_time.div_f64(factor);
+        targets.has_faster(view.now(), &self.slot.instance, faster, &requirements, &mut rand::rng())
     }
 
-    fn need(&self) -> TargetRequirements<'_> {
+    fn requirements(&self) -> TargetRequirements<'_> {
         let floor = ModelVersion::new(self.spec.job.min_version);
         TargetRequirements {
             model: self.model.as_ref().map(|model| (model, floor)),
             free_slot: true,
             fast: false,
-            // No run moves to a cold engine.
+            // Runs don't move to cold engines.
             sender: None,
             avoid: &[],
         }
     }
 
-    fn note(&self, reason: RunReason, started: Instant) {
+    fn record_end(&self, reason: RunReason, started: Instant) {
         let view = &self.ctx.view;
         match reason {
             RunReason::Broken | RunReason::BrokenBeforeHead => {
@@ -250,13 +250,14 @@
             RunReason::OtherTarget => {
                 view.suspects().instance_gone(view.now(), &self.slot.instance);
             }
-            // The engine has lived to say so.
+            // The engine survived the work.
             RunReason::Complete | RunReason::Impossible | RunReason::TargetError => {
                 view.suspects().succeeded(self.work);
             }
             _ => {}
         }
-        // A second end is told by now, or the run after this one tells of it.
+        // Wake the task that publishes suspect changes. A change that it misses is published after
+        // the next run.
         view.suspects_changed();
         view.metrics.count_outcome("run", reason.as_str());
         let instance = &self.slot.instance;
--- a/crates/shards/src/run_reason.rs
+++ b/crates/shards/src/run_reason.rs
@@ -1,4 +1,4 @@
-//! Why a run ended: what became of the item, and what it says of the engine.
+//! Why a run ended, and what follows for the item and for the engine.
 
 use std::fmt;
 
@@ -9,67 +9,67 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RunReason {
     Complete,
-    /// The item's request cannot be written.
-    Unwritable,
+    /// The item's request can't be encoded.
+    InvalidRequest,
     NotSent,
-    /// This box holds as many connections as it may.
-    NoRoom,
-    SilentBeforeHead,
+    /// This box is at its connection limit.
+    ConnectionLimit,
+    TimeoutBeforeHead,
     BrokenBeforeHead,
-    /// The answer belongs to another request.
-    OtherAnswer,
-    /// Another life of the engine, or another target, has the address.
+    /// The response belongs to another request.
+    WrongRequestId,
+    /// The address belongs to another incarnation or another target.
     OtherTarget,
     FullOrLoading,
     WeightsTooOld,
-    /// The engine says that the item can never be done.
+    /// The engine reports that the item can never succeed.
     Impossible,
     TargetError,
-    OddStatus,
+    UnexpectedStatus,
     Unsigned,
     NoVersion,
-    Silent,
+    BodyTimeout,
     Broken,
-    NoEvents,
+    InvalidEvents,
     EventMissing,
-    EndedWithinEvent,
+    TruncatedEvent,
     SlowEngine,
 }
 
 impl RunReason {
-    /// What becomes of the item.
+    /// Returns the outcome for the item.
     pub(crate) const fn outcome(self) -> RunOutcome {
         match self {
             Self::Complete => RunOutcome::Complete,
-            Self::Unwritable | Self::Impossible => RunOutcome::Impossible,
+            Self::InvalidRequest | Self::Impossible => RunOutcome::Impossible,
             Self::NotSent
-            | Self::NoRoom
+            | Self::ConnectionLimit
             | Self::OtherTarget
             | Self::FullOrLoading
             | Self::WeightsTooOld => RunOutcome::NotRun,
             Self::TargetError => RunOutcome::Failed,
             Self::SlowEngine => RunOutcome::Moved,
-            Self::SilentBeforeHead
+            Self::TimeoutBeforeHead
             | Self::BrokenBeforeHead
-            | Self::OtherAnswer
-            | Self::OddStatus
+            | Self::WrongRequestId
+            | Self::UnexpectedStatus
             | Self::Unsigned
             | Self::NoVersion
-            | Self::Silent
+            | Self::BodyTimeout
             | Self::Broken
-            | Self::NoEvents
+            | Self::InvalidEvents
             | Self::EventMissing
-            | Self::EndedWithinEvent => RunOutcome::Cut,
+            | Self::TruncatedEvent => RunOutcome::Cut,
         }
     }
 
-    /// What it says of the engine; `None` for nothing bad.
+    /// Returns the failure to record for the engine, if any.
     pub(crate) const fn failure(self) -> Option<TargetFailure> {
         match self {
             Self::OtherTarget => Some(TargetFailure::Gone),
             Self::FullOrLoading | Self::WeightsTooOld => Some(TargetFailure::Full),
-            // Nothing was asked of it.
-            Self::NoRoom => None,
+            // Nothing was sent to the engine.
+            Self::ConnectionLimit => None,
             _ => match self.outcome() {
                 RunOutcome::Cut | RunOutcome::NotRun => Some(TargetFailure::Broken),
                 _ => None,
@@ -77,29 +77,29 @@
         }
     }
 
-    /// The word for logs and metrics.
+    /// Returns the label for logs and metrics.
     pub(crate) const fn as_str(self) -> &'static str {
         match self {
             Self::Complete => "whole",
-            Self::Unwritable => "the item's request cannot be written",
+            Self::InvalidRequest => "the item's request cannot be written",
             Self::NotSent => "not sent",
-            Self::NoRoom => "no connection left",
-            Self::SilentBeforeHead => "silent before the head",
+            Self::ConnectionLimit => "no connection left",
+            Self::TimeoutBeforeHead => "silent before the head",
             Self::BrokenBeforeHead => "broken before the head",
-            Self::OtherAnswer => "answer to another request",
+            Self::WrongRequestId => "answer to another request",
             Self::OtherTarget => "another target",
             Self::FullOrLoading => "full or loading",
             Self::WeightsTooOld => "weights too old",
             Self::Impossible => "impossible",
             Self::TargetError => "error of the target",
-            Self::OddStatus => "odd status",
+            Self::UnexpectedStatus => "odd status",
             Self::Unsigned => "unsigned",
             Self::NoVersion => "no version told",
-            Self::Silent => "silent",
+            Self::BodyTimeout => "silent",
             Self::Broken => "broken",
-            Self::NoEvents => "no events",
+            Self::InvalidEvents => "no events",
             Self::EventMissing => "an event is missing",
-            Self::EndedWithinEvent => "ended within an event",
+            Self::TruncatedEvent => "ended within an event",
             Self::SlowEngine => "slow engine",
         }
     }
--- a/crates/shards/src/forming.rs
+++ b/crates/shards/src/takeover.rs
@@ -1,4 +1,4 @@
-//! Takes a shard over: closes a copy, gives its records to new copies, writes the plan.
+//! Shard takeover: closes a copy, writes its records to new copies, then writes the plan.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,51 +19,51 @@
 
 use crate::context::ShardContext;
 use crate::copies::on_disk;
-use crate::copying::{ResultPlaces, copy_book};
+use crate::copying::{ResultLocations, copy_jobs};
 use crate::keeper::{ServedEpoch, ShardKeeper};
-use crate::log_writer::{EpochLog, QUEUE, write_log};
+use crate::log_writer::{EpochLog, QUEUE_CAPACITY, write_log};
 
-/// How often a box looks whether it should take a shard.
-const LOOK_EVERY: Duration = Duration::from_millis(150);
-/// Pause after a try that failed.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// Interval at which a box checks whether it should take over a shard.
+const POLL_INTERVAL: Duration = Duration::from_millis(150);
+/// Delay after a failed takeover attempt.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Why a shard is not served any more when another box serves it.
+/// Reason for ending an epoch when another box serves the shard.
 const SUPERSEDED: &str = "another plan is in force";
 
-/// Serves a shard whenever it is this box's duty.
-pub async fn keep_shard(ctx: Arc<ShardContext>, keeper: Arc<ShardKeeper>) {
+/// Serves a shard whenever it is assigned to this box.
+pub async fn run_shard(ctx: Arc<ShardContext>, keeper: Arc<ShardKeeper>) {
     let shard = keeper.shard();
     let mut no_plan_since = None;
     let mut changes = keeper.changes();
     loop {
         drop_superseded(&ctx, &keeper);
-        if ctx.view.assignments().is_read() && wants_shard(&ctx, &keeper, &mut no_plan_since) {
-            match form_epoch(&ctx, &keeper).await {
-                Ok((log, places)) => {
-                    serve_epoch(&ctx, &keeper, log, &places).await;
+        if ctx.view.assignments().is_read() && should_take_over(&ctx, &keeper, &mut no_plan_since) {
+            match take_over(&ctx, &keeper).await {
+                Ok((log, locations)) => {
+                    serve_epoch(&ctx, &keeper, log, &locations).await;
                     continue;
                 }
-                Err(fault) => {
-                    if fault == TakeoverError::Superseded {
+                Err(error) => {
+                    if error == TakeoverError::Superseded {
                         keeper.reset();
                     }
-                    log::info!(target: "shard", shard = shard.get(), why:% = fault; "not taken");
-                    time::sleep(RETRY_PAUSE).await;
+                    log::info!(target: "shard", shard = shard.get(), why:% = error; "takeover failed");
+                    time::sleep(RETRY_DELAY).await;
                     continue;
                 }
             }
         }
-        // Either way it is looked at again soon.
-        let _elapsed = time::timeout(LOOK_EVERY, changes.changed()).await;
+        // Both outcomes lead to the next check.
+        let _elapsed = time::timeout(POLL_INTERVAL, changes.changed()).await;
     }
 }
 
-/// Forgets the jobs of a shard that another box serves under a later plan.
+/// Drops the jobs of a shard that another box serves under a later plan.
 fn drop_superseded(ctx: &ShardContext, keeper: &ShardKeeper) {
-    let Some(held) = keeper.book_epoch() else { return };
-    let superseded = ctx.view.assignments().plan(keeper.shard()).is_some_and(|sighting| {
-        let plan = &sighting.plan;
+    let Some(held) = keeper.jobs_epoch() else { return };
+    let superseded = ctx.view.assignments().plan(keeper.shard()).is_some_and(|observed| {
+        let plan = &observed.plan;
         plan.epoch != held
             && plan.epoch.token > held.token
             && plan.server().is_none_or(|server| server.box_id != ctx.me.box_id)
@@ -73,42 +73,42 @@
     }
 }
 
-/// Whether this box should take the shard now.
-fn wants_shard(
+/// Returns whether this box should take over the shard now.
+fn should_take_over(
     ctx: &ShardContext,
     keeper: &ShardKeeper,
     no_plan_since: &mut Option<ids::Moment>,
 ) -> bool {
     let shard = keeper.shard();
     let now = ctx.view.now();
-    let duties = ctx.view.assignments();
-    let sighting = duties.plan(shard);
-    // Two boxes that make copies at once only slow each other.
-    if sighting.is_some_and(|sighting| box_before_forms(ctx, shard, &sighting.plan))
-        && !keeper.is_asked()
+    let assignments = ctx.view.assignments();
+    let observed = assignments.plan(shard);
+    // Concurrent takeovers slow each other down.
+    if observed.is_some_and(|observed| higher_rank_takes_over(ctx, shard, &observed.plan))
+        && !keeper.is_takeover_requested()
     {
         return false;
     }
-    let no_plan_for = if sighting.is_some() {
+    let no_plan_for = if observed.is_some() {
         *no_plan_since = None;
         Duration::ZERO
     } else {
         now.since(*no_plan_since.get_or_insert(now))
     };
-    let plan = sighting.map(|sighting| &sighting.plan);
+    let plan = observed.map(|observed| &observed.plan);
     let server = plan.and_then(ShardPlan::server);
     let view = TakeoverView {
         me: &ctx.me.box_id,
         plan,
         has_copy: plan.is_some_and(|plan| ctx.copies.folder().has(shard, &plan.epoch)),
         lost_before: plan.map_or(0, |plan| lost_before(ctx, shard, plan)),
-        server_unresponsive_for: sighting
-            .map(|told| server_silence(ctx, shard, told))
+        server_unresponsive_for: observed
+            .map(|observed| server_unresponsive_for(ctx, shard, observed))
             .unwrap_or_default(),
-        server_restarts: server.is_some_and(|server| ctx.peers.restarts(&server.box_id)),
-        first_rank: if plan.is_none() { first_rank(ctx, shard, &duties) } else { 0 },
+        server_restarts: server.is_some_and(|server| ctx.peers.is_restarting(&server.box_id)),
+        first_rank: if plan.is_none() { first_rank(ctx, shard, &assignments) } else { 0 },
         no_plan_for,
-        preference: if keeper.take_asked() {
+        preference: if keeper.take_takeover_request() {
             TakeoverPreference::Requested
         } else if ctx.is_leaving() {
             TakeoverPreference::Avoid
@@ -119,64 +119,68 @@
     decide_takeover(&view) == TakeoverDecision::TakeOver
 }
 
-/// Place of this box among those that could begin the shard.
-fn first_rank(ctx: &ShardContext, shard: ShardIndex, duties: &AssignmentTable) -> usize {
-    let boxes: Vec<StorageBox> = duties.active_boxes().into_iter().cloned().collect();
+/// Rank of this box among the candidates for a shard without a plan.
+fn first_rank(ctx: &ShardContext, shard: ShardIndex, assignments: &AssignmentTable) -> usize {
+    let boxes: Vec<StorageBox> = assignments.active_boxes().into_iter().cloned().collect();
     let ranked = rank_initial_servers(shard, &boxes);
     ranked.iter().position(|copy| copy.box_id == ctx.me.box_id).unwrap_or(boxes.len())
 }
 
-/// Whether a box that goes before this one in the plan makes new copies, to serve the shard.
-fn box_before_forms(ctx: &ShardContext, shard: ShardIndex, plan: &ShardPlan) -> bool {
+/// Returns whether a higher-ranked box of the plan is writing new copies.
+fn higher_rank_takes_over(ctx: &ShardContext, shard: ShardIndex, plan: &ShardPlan) -> bool {
     let rank = plan.rank(&ctx.me.box_id).unwrap_or_default();
     let now = ctx.view.now();
-    plan.copies.iter().take(rank).any(|copy| ctx.peers.forms(now, shard, &copy.box_id))
+    plan.copies.iter().take(rank).any(|copy| ctx.peers.is_taking_over(now, shard, &copy.box_id))
 }
 
-/// Copies that go before this box's in the plan and that their boxes say they have lost.
+/// Counts higher-ranked copies of the plan that their boxes report as missing.
 fn lost_before(ctx: &ShardContext, shard: ShardIndex, plan: &ShardPlan) -> usize {
     let rank = plan.rank(&ctx.me.box_id).unwrap_or_default();
     let now = ctx.view.now();
     let before = plan.copies.iter().take(rank);
-    before.filter(|copy| ctx.peers.lacks(now, shard, &copy.box_id, plan.epoch.token)).count()
+    before.filter(|copy| ctx.peers.lacks_copy(now, shard, &copy.box_id, plan.epoch.token)).count()
 }
 
-/// How long the plan's server has not said that it serves the shard. A plan that was just learnt: its
-/// server has had no time to tell.
-fn server_silence(ctx: &ShardContext, shard: ShardIndex, sighting: &ObservedPlan) -> Duration {
+/// Returns how long the plan's server has not reported that it serves the shard, counted from when
+/// the plan was first seen at the earliest.
+fn server_unresponsive_for(
+    ctx: &ShardContext,
+    shard: ShardIndex,
+    observed: &ObservedPlan,
+) -> Duration {
     let now = ctx.view.now();
-    let plan = &sighting.plan;
+    let plan = &observed.plan;
     let Some(server) = plan.server() else { return Duration::ZERO };
-    let silent = ctx.peers.silent(now, shard, &server.box_id, plan.epoch.token);
-    silent.min(now.since(sighting.seen_at))
+    let unreported_for = ctx.peers.unreported_for(now, shard, &server.box_id, plan.epoch.token);
+    unreported_for.min(now.since(observed.seen_at))
 }
 
-/// Writes the log until it ends, for whatever reason.
+/// Serves the epoch and writes its log until the epoch ends.
 async fn serve_epoch(
     ctx: &Arc<ShardContext>,
     keeper: &Arc<ShardKeeper>,
     log: EpochLog,
-    places: &ResultPlaces,
+    locations: &ResultLocations,
 ) {
-    let (sender, work) = mpsc::channel(QUEUE);
+    let (sender, work) = mpsc::channel(QUEUE_CAPACITY);
     let ended = CancellationToken::new();
     let epoch = log.epoch.clone();
     let partners: Vec<StorageBox> = log.partners.clone();
-    let counts = keeper.book().counts();
+    let counts = keeper.jobs().counts();
     log::info!(
         target: "shard", shard = keeper.shard().get(), epoch:% = epoch, jobs = counts.jobs,
         bytes = counts.bytes;
         "serving"
     );
     let served = ServedEpoch { epoch: epoch.clone(), log: sender, ended: ended.clone() };
-    keeper.begin(served, places);
+    keeper.start_serving(served, locations);
     let why = tokio::select! {
         () = write_log(Arc::clone(ctx), Arc::clone(keeper), log, work) => "copy lost",
         () = ended.cancelled() => "asked",
         () = superseded(ctx, keeper.shard(), &epoch) => SUPERSEDED,
-        () = partner_leaves(ctx, &partners) => "partner leaves",
+        () = partner_retires(ctx, &partners) => "partner leaves",
     };
-    keeper.end();
+    keeper.stop_serving();
     if why == SUPERSEDED {
         keeper.reset();
     }
@@ -190,8 +194,8 @@
 async fn superseded(ctx: &ShardContext, shard: ShardIndex, epoch: &EpochId) {
     let mut changes = ctx.view.changes();
     loop {
-        let later = ctx.view.assignments().plan(shard).is_some_and(|sighting| {
-            sighting.plan.epoch != *epoch && sighting.plan.epoch.token >= epoch.token
+        let later = ctx.view.assignments().plan(shard).is_some_and(|observed| {
+            observed.plan.epoch != *epoch && observed.plan.epoch.token >= epoch.token
         });
         if later || changes.changed().await.is_err() {
             return;
@@ -199,10 +203,10 @@
     }
 }
 
-/// Returns once a box with a copy is to be emptied.
-async fn partner_leaves(ctx: &ShardContext, partners: &[StorageBox]) {
+/// Returns once a box that holds a copy is being retired.
+async fn partner_retires(ctx: &ShardContext, partners: &[StorageBox]) {
     loop {
-        time::sleep(LOOK_EVERY).await;
+        time::sleep(POLL_INTERVAL).await;
         let retiring = ctx.retiring().clone();
         if partners.iter().any(|copy| retiring.contains(&copy.box_id)) {
             return;
@@ -210,66 +214,67 @@
     }
 }
 
-/// Forms a new epoch that this box serves, by the steps of [`EpochTakeover`].
-async fn form_epoch(
+/// Creates a new epoch served by this box, following the steps of [`EpochTakeover`].
+async fn take_over(
     ctx: &Arc<ShardContext>,
     keeper: &Arc<ShardKeeper>,
-) -> Result<(EpochLog, ResultPlaces), TakeoverError> {
+) -> Result<(EpochLog, ResultLocations), TakeoverError> {
     let shard = keeper.shard();
     let number = u64::from(rand::rng().random::<u32>());
-    let mut former = EpochTakeover::new(ctx.me.clone(), number, keeper.book_epoch());
+    let mut takeover = EpochTakeover::new(ctx.me.clone(), number, keeper.jobs_epoch());
     let mut copy = None;
     loop {
-        if former.needs_partners() {
-            former.set_partners(ctx.choose_copies(shard));
+        if takeover.needs_partners() {
+            takeover.set_partners(ctx.choose_copies(shard));
         }
-        match former.step() {
-            TakeoverStep::ReadPlan => former.plan_read(read_plan(ctx, shard).await),
+        match takeover.step() {
+            TakeoverStep::ReadPlan => takeover.plan_read(read_plan(ctx, shard).await),
             TakeoverStep::BeginEmpty => {
                 keeper.reset();
-                former.base_loaded(true);
+                takeover.base_loaded(true);
             }
             TakeoverStep::CloseAndRead(epoch) => {
-                former.base_loaded(close_and_read(ctx, keeper, epoch).await);
+                takeover.base_loaded(close_and_read(ctx, keeper, epoch).await);
             }
             TakeoverStep::Copy { epoch, partners } => {
-                keeper.book().suspend_appends();
-                keeper.set_forming(true);
-                copy = copy_book(ctx, keeper, &epoch, &partners).await;
-                keeper.set_forming(false);
-                former.copies_written(copy.is_some());
+                keeper.jobs().suspend_appends();
+                keeper.set_taking_over(true);
+                copy = copy_jobs(ctx, keeper, &epoch, &partners).await;
+                keeper.set_taking_over(false);
+                takeover.copies_written(copy.is_some());
             }
             TakeoverStep::WritePlan { base, plan } => {
-                let end = write_plan(ctx, shard, base, &plan).await;
-                if end == PlanWriteOutcome::NoAnswer {
-                    time::sleep(RETRY_PAUSE).await;
+                let outcome = write_plan(ctx, shard, base, &plan).await;
+                if outcome == PlanWriteOutcome::NoAnswer {
+                    time::sleep(RETRY_DELAY).await;
                 }
-                former.plan_written(end);
+                takeover.plan_written(outcome);
             }
             TakeoverStep::CheckPlan => {
                 let read = read_plan(ctx, shard).await;
                 if read.is_err() {
-                    time::sleep(RETRY_PAUSE).await;
+                    time::sleep(RETRY_DELAY).await;
                 }
-                former.plan_read(read);
+                takeover.plan_read(read);
             }
             TakeoverStep::Serve { revision, plan } => {
                 let (epoch, partners) = (plan.epoch.clone(), plan.copies[1..].to_vec());
-                note_plan(ctx, shard, VersionedPlan { revision, plan });
+                record_plan(ctx, shard, VersionedPlan { revision, plan });
                 ctx.copies.clean(shard, epoch.clone()).await;
-                let places = copy.as_ref().map(|copy| copy.places.clone()).unwrap_or_default();
+                let locations =
+                    copy.as_ref().map(|copy| copy.locations.clone()).unwrap_or_default();
                 let log = EpochLog { epoch, file: copy.map(|copy| copy.file), partners };
-                return Ok((log, places));
+                return Ok((log, locations));
             }
-            TakeoverStep::Fail(fault) => return Err(fault),
+            TakeoverStep::Fail(error) => return Err(error),
         }
     }
 }
 
-fn note_plan(ctx: &ShardContext, shard: ShardIndex, read: VersionedPlan) {
+fn record_plan(ctx: &ShardContext, shard: ShardIndex, read: VersionedPlan) {
     let seen_at = ctx.view.now();
-    let sighting = ObservedPlan { revision: read.revision, plan: read.plan, seen_at };
-    ctx.view.assignments().put_plan(shard, sighting);
+    let observed = ObservedPlan { revision: read.revision, plan: read.plan, seen_at };
+    ctx.view.assignments().put_plan(shard, observed);
 }
 
 async fn read_plan(ctx: &ShardContext, shard: ShardIndex) -> Result<Option<VersionedPlan>, ()> {
@@ -283,11 +288,11 @@
         log::warn!(target: "shard", shard = shard.get(), error:% = error; "plan refused");
     })?;
     let read = VersionedPlan { revision: stored.revision, plan };
-    note_plan(ctx, shard, read.clone());
+    record_plan(ctx, shard, read.clone());
     Ok(Some(read))
 }
 
-/// Closes this box's copy of an epoch and makes the book hold what it holds.
+/// Closes this box's copy of an epoch and loads it into the job table.
 async fn close_and_read(ctx: &ShardContext, keeper: &Arc<ShardKeeper>, epoch: EpochId) -> bool {
     let shard = keeper.shard();
     ctx.copies.close(shard, &epoch).await;
@@ -295,8 +300,8 @@
     keeper.reset();
     let (now, loaded) = (ctx.view.now(), Arc::clone(keeper));
     let read = on_disk(shard, "read own copy", move || {
-        folder.read(shard, &read_epoch, |record, place| {
-            loaded.book().apply_at(now, record, Some(place));
+        folder.read(shard, &read_epoch, |record, location| {
+            loaded.jobs().apply_at(now, record, Some(location));
         })
     });
     let Some(records) = read.await else { return false };
@@ -304,11 +309,11 @@
         target: "shard", shard = shard.get(), epoch:% = epoch, records = records;
         "copy closed and read"
     );
-    keeper.set_book_epoch(Some(epoch));
+    keeper.set_jobs_epoch(Some(epoch));
     true
 }
 
-/// Writes the plan if the one that was read is still in force.
+/// Writes the plan if `base` is still the stored revision.
 async fn write_plan(
     ctx: &ShardContext,
     shard: ShardIndex,
--- a/crates/shards/tests/loads.rs
+++ b/crates/shards/tests/loads.rs
@@ -13,7 +13,7 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
 use routing::{HeldModel, TargetFailure, TargetRecord, TargetRequirements, TargetTable};
-use shards::{LoadBoard, hear_loads};
+use shards::{LoadTable, apply_loads};
 
 const ENGINES: usize = 17;
 /// Loads under way of this model's engines: its part of 20 at a time.
@@ -68,7 +68,7 @@
 /// and each runs for 0.16 s.
 fn play(told: bool) -> Outcome {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let (orders, mut board) = (LoadBoard::default(), server_board());
+    let (orders, mut board) = (LoadTable::default(), server_board());
     let mut outcome = Outcome::default();
     let mut loading: Vec<(usize, Moment)> = Vec::new();
     let mut runs: Vec<(InstanceId, Moment)> = Vec::new();
@@ -80,19 +80,19 @@
         loading.retain(|(number, until)| {
             let ended = now >= *until;
             if ended {
-                orders.ended(now, &engine(*number), true);
+                orders.load_ended(now, &engine(*number), true);
             }
             !ended
         });
         while loading.len() < AT_ONCE {
             let number = next % ENGINES;
             let version = ModelVersion::new(2 + u64::try_from(next / ENGINES).expect("small"));
-            orders.begun(&engine(number), &model(), version);
+            orders.load_started(&engine(number), &model(), version);
             loading.push((number, now + LOAD));
             next += 1;
         }
         if told && now.since(news_at) >= NEWS {
-            hear_loads(&mut board, now, &orders.told(now));
+            apply_loads(&mut board, now, &orders.current_loads(now));
             news_at = now;
         }
         runs.retain(|(instance, until)| {
@@ -125,7 +125,7 @@
 
 #[test]
 fn an_ended_load_tells_the_new_version_at_once() {
-    let (orders, mut board) = (LoadBoard::default(), server_board());
+    let (orders, mut board) = (LoadTable::default(), server_board());
     let (model, version) = (model(), ModelVersion::new(2));
     let needs_new = TargetRequirements {
         model: Some((&model, version)),
@@ -134,22 +134,22 @@
     };
     let mut rng = ChaCha8Rng::seed_from_u64(2);
     let (begun, ended) = (Moment::START, Moment::START + LOAD);
-    orders.begun(&engine(3), &model, version);
-    hear_loads(&mut board, begun, &orders.told(begun));
+    orders.load_started(&engine(3), &model, version);
+    apply_loads(&mut board, begun, &orders.current_loads(begun));
     assert_eq!(board.choose(begun, &service(), &needs_new, &mut rng), None);
-    orders.ended(ended, &engine(3), true);
-    hear_loads(&mut board, ended, &orders.told(ended));
+    orders.load_ended(ended, &engine(3), true);
+    apply_loads(&mut board, ended, &orders.current_loads(ended));
     let slot = board.choose(ended, &service(), &needs_new, &mut rng);
     assert_eq!(slot.map(|slot| slot.instance), Some(engine(3)));
 }
 
 #[test]
 fn a_failed_load_gives_the_engine_back_under_its_old_version() {
-    let (orders, mut board) = (LoadBoard::default(), server_board());
+    let (orders, mut board) = (LoadTable::default(), server_board());
     let (model, old) = (model(), ModelVersion::new(1));
-    orders.begun(&engine(0), &model, ModelVersion::new(2));
-    orders.ended(Moment::START, &engine(0), false);
-    hear_loads(&mut board, Moment::START, &orders.told(Moment::START));
+    orders.load_started(&engine(0), &model, ModelVersion::new(2));
+    orders.load_ended(Moment::START, &engine(0), false);
+    apply_loads(&mut board, Moment::START, &orders.current_loads(Moment::START));
     let held = board.record(&engine(0)).map(|record| record.models.clone());
     assert_eq!(held, Some(vec![HeldModel { model, version: old }]));
 }
@@ -157,13 +157,13 @@
 /// Word of a box that is gone must not keep an engine idle.
 #[test]
 fn a_load_of_which_nothing_more_is_heard_is_believed_for_less_than_a_second() {
-    let (orders, mut board) = (LoadBoard::default(), server_board());
+    let (orders, mut board) = (LoadTable::default(), server_board());
     let need = TargetRequirements { free_slot: true, ..TargetRequirements::default() };
     for number in 0..ENGINES {
-        orders.begun(&engine(number), &model(), ModelVersion::new(2));
+        orders.load_started(&engine(number), &model(), ModelVersion::new(2));
     }
     let mut rng = ChaCha8Rng::seed_from_u64(3);
-    hear_loads(&mut board, Moment::START, &orders.told(Moment::START));
+    apply_loads(&mut board, Moment::START, &orders.current_loads(Moment::START));
     assert_eq!(board.choose(Moment::START, &service(), &need, &mut rng), None);
     let later = Moment::START + Duration::from_secs(1);
     assert!(board.choose(later, &service(), &need, &mut rng).is_some());
--- a/crates/xtask/src/ablate.rs
+++ b/crates/xtask/src/ablate.rs
@@ -30,8 +30,8 @@
         without: "servers find loads that they did not order out by refusals",
         edit: SourceEdit {
             file: "crates/shards/src/loads.rs",
-            from: "if serves { ctx.loads.told",
-            to: "if serves && other.as_str().is_empty() { ctx.loads.told",
+            from: "if serves { ctx.loads.current_loads",
+            to: "if serves && other.as_str().is_empty() { ctx.loads.current_loads",
         },
     },
     Ablation {
@@ -119,7 +119,7 @@
         name: "share-by-work",
         without: "each model gets as many engines, whatever its work",
         edit: SourceEdit {
-            file: "crates/shards/src/followers.rs",
+            file: "crates/shards/src/engine_assignments.rs",
             from: "        let shares = divide_engines(self.engines.len(), work);",
             to: "        let shares = divide_engines(self.engines.len(), &vec![1.0; work.len()]);",
         },
@@ -128,7 +128,7 @@
         name: "few-loads",
         without: "all engines may load at once",
         edit: SourceEdit {
-            file: "crates/shards/src/conductor.rs",
+            file: "crates/shards/src/rollout.rs",
             from: "    ((engines + parts / 2) / parts).max(1)",
             to: "    (engines + parts - parts).max(1)",
         },
@@ -138,8 +138,8 @@
         without: "runs stay on slow engines",
         edit: SourceEdit {
             file: "crates/shards/src/run.rs",
-            from: "        board.has_faster(view.now()",
-            to: "        false && board.has_faster(view.now()",
+            from: "        targets.has_faster(view.now()",
+            to: "        false && targets.has_faster(view.now()",
         },
     },
     Ablation {
@@ -228,8 +228,8 @@
         without: "a holder gives its lease up when the shard moves",
         edit: SourceEdit {
             file: "crates/shards/src/claim.rs",
-            from: "    let concerned = serves || (held.may_be_mine() && ctx.is_at_work());",
-            to: "    let concerned = serves;",
+            from: "    let should_poll = serves || (lease.may_hold() && ctx.is_active());",
+            to: "    let should_poll = serves;",
         },
     },
     Ablation {
@@ -237,8 +237,8 @@
         without: "nobody stands in for a holder whom the store refuses",
         edit: SourceEdit {
             file: "crates/shards/src/claim.rs",
-            from: "serves_shard(ctx, keepers, held) || stands_in(ctx, held)",
-            to: "serves_shard(ctx, keepers, held) || (false && stands_in(ctx, held))",
+            from: "serves_shard(ctx, keepers, lease) || is_fallback_holder(ctx, lease)",
+            to: "serves_shard(ctx, keepers, lease) || (false && is_fallback_holder(ctx, lease))",
         },
     },
     Ablation {
--- a/crates/xtask/src/mutate.rs
+++ b/crates/xtask/src/mutate.rs
@@ -252,7 +252,7 @@
     Mutation {
         name: "customers: an item's engine is not told whose it is",
         file: "crates/shards/src/run.rs",
-        from: "        self.name_customer(&mut sent);",
+        from: "        self.set_customer_header(&mut header_map);",
         to: "",
         package: "platform-standin",
         test: "a_job_is_its_customers",
@@ -364,8 +364,8 @@
     Mutation {
         name: "platform: nobody stands in for a holder whom the store refuses",
         file: "crates/shards/src/claim.rs",
-        from: "|| stands_in(ctx, held);",
-        to: "; let _ = stands_in;",
+        from: "|| is_fallback_holder(ctx, lease);",
+        to: "; let _ = is_fallback_holder;",
         package: "platform-standin",
         test: "a_holder_whom",
     },
@@ -516,8 +516,8 @@
     Mutation {
         name: "platform: servers find loads out by refusals",
         file: "crates/shards/src/loads.rs",
-        from: "if load.ended { now } else { now + LOAD_TRUST }",
-        to: "if load.ended { now } else { now + LOAD_TRUST * 0 }",
+        from: "if load.ended { now } else { now + LOAD_REPORT_TTL }",
+        to: "if load.ended { now } else { now + LOAD_REPORT_TTL * 0 }",
         package: "shards",
         test: "told_of_loads_is_seldom_turned_away",
     },
