--- a/crates/shards/tests/loads.rs
+++ b/crates/shards/tests/loads.rs
@@ -1,10 +1,5 @@
-//! Loads at a hundred engines, as the box that orders them tells the server that runs items there.
-//!
-//! The pattern: a service of 102 engines for six models; versions are named every four seconds, a load takes
-//! 0.9 s, and up to 20 engines load at a time. An engine turns work away while it loads. The server of one
-//! model's jobs keeps some forty items under way on the 17 engines that follow its model, and is not the box
-//! that orders loads: with 17 loads every 4 s, 4 in 17 of the engines load at any moment. Without word of them
-//! every pick of such an engine is a refusal, and the engine rests up to half a second beyond its load.
+//! Checks that servers learn of weight loads from the box that orders them, so that they rarely
+//! start items at an engine that refuses them because it is loading.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,30 +11,30 @@
 use shards::{LoadTable, apply_loads};
 
 const ENGINES: usize = 17;
-/// Loads under way of this model's engines: its part of 20 at a time.
-const AT_ONCE: usize = 4;
-const LOAD: Duration = Duration::from_millis(900);
-/// How long news are on their way: they gather for 30 ms, and cross one link.
-const NEWS: Duration = Duration::from_millis(32);
+/// Concurrent loads among these engines.
+const CONCURRENT_LOADS: usize = 4;
+const LOAD_DURATION: Duration = Duration::from_millis(900);
+/// Delay of load reports: 30 ms of batching and one network hop.
+const REPORT_DELAY: Duration = Duration::from_millis(32);
 const TICK: Duration = Duration::from_millis(4);
 
 fn engine(number: usize) -> InstanceId {
-    format!("engine-{number}").parse().expect("an id")
+    format!("engine-{number}").parse().expect("valid instance id")
 }
 
 fn model() -> ModelName {
-    "layout".parse().expect("a model")
+    "layout".parse().expect("valid model name")
 }
 
 fn service() -> ServiceName {
-    "engines".parse().expect("a service")
+    "engines".parse().expect("valid service name")
 }
 
-fn server_board() -> TargetTable {
-    let domain: ids::DomainId = "domain-1".parse().expect("a domain");
-    let mut board = TargetTable::new(domain.clone());
+fn server_targets() -> TargetTable {
+    let domain: ids::DomainId = "domain-1".parse().expect("valid domain id");
+    let mut targets = TargetTable::new(domain.clone());
     for number in 0..ENGINES {
-        board.put(
+        targets.put(
             Moment::START,
             TargetRecord {
                 instance: engine(number),
@@ -55,7 +50,7 @@
             },
         );
     }
-    board
+    targets
 }
 
 #[derive(Debug, Default)]
@@ -64,17 +59,18 @@
     refused: u32,
 }
 
-/// Twelve seconds in which all engines take one version after another; the server starts an item every 4 ms
-/// and each runs for 0.16 s.
-fn play(told: bool) -> Outcome {
+/// Simulates 12 s in which all engines load one version after another, while a server starts an
+/// item every 4 ms that runs for 160 ms.
+fn simulate(with_reports: bool) -> Outcome {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let (orders, mut board) = (LoadTable::default(), server_board());
+    let (orders, mut targets) = (LoadTable::default(), server_targets());
     let mut outcome = Outcome::default();
     let mut loading: Vec<(usize, Moment)> = Vec::new();
     let mut runs: Vec<(InstanceId, Moment)> = Vec::new();
     let mut next = 0;
-    let mut news_at = Moment::START;
-    let need = TargetRequirements { free_slot: true, fast: true, ..TargetRequirements::default() };
+    let mut reported_at = Moment::START;
+    let requirements =
+        TargetRequirements { free_slot: true, fast: true, ..TargetRequirements::default() };
     for tick in 0..3_000 {
         let now = Moment::START + TICK * tick;
         loading.retain(|(number, until)| {
@@ -84,30 +80,31 @@
             }
             !ended
         });
-        while loading.len() < AT_ONCE {
+        while loading.len() < CONCURRENT_LOADS {
             let number = next % ENGINES;
-            let version = ModelVersion::new(2 + u64::try_from(next / ENGINES).expect("small"));
+            let version =
+                ModelVersion::new(2 + u64::try_from(next / ENGINES).expect("version fits in u64"));
             orders.load_started(&engine(number), &model(), version);
-            loading.push((number, now + LOAD));
+            loading.push((number, now + LOAD_DURATION));
             next += 1;
         }
-        if told && now.since(news_at) >= NEWS {
-            apply_loads(&mut board, now, &orders.current_loads(now));
-            news_at = now;
+        if with_reports && now.since(reported_at) >= REPORT_DELAY {
+            apply_loads(&mut targets, now, &orders.current_loads(now));
+            reported_at = now;
         }
         runs.retain(|(instance, until)| {
             if now >= *until {
-                board.ended(instance);
-                board.succeeded(now, instance);
+                targets.ended(instance);
+                targets.succeeded(now, instance);
             }
             now < *until
         });
-        let Some(slot) = board.choose(now, &service(), &need, &mut rng) else { continue };
+        let Some(slot) = targets.choose(now, &service(), &requirements, &mut rng) else { continue };
         outcome.started += 1;
         if loading.iter().any(|(number, _)| engine(*number) == slot.instance) {
             outcome.refused += 1;
-            board.ended(&slot.instance);
-            board.failed(now, &slot.instance, TargetFailure::Full);
+            targets.ended(&slot.instance);
+            targets.failed(now, &slot.instance, TargetFailure::Full);
         } else {
             runs.push((slot.instance, now + Duration::from_millis(160)));
         }
@@ -116,16 +113,22 @@
 }
 
 #[test]
-fn a_server_that_is_told_of_loads_is_seldom_turned_away() {
-    let (alone, told) = (play(false), play(true));
-    assert!(alone.refused * 20 > alone.started, "the pattern is there: {alone:?}");
-    assert!(told.refused * 5 < alone.refused, "{alone:?} against {told:?}");
-    assert!(told.refused * 50 < told.started, "{told:?}");
+fn load_reports_prevent_most_refusals() {
+    let (unreported, reported) = (simulate(false), simulate(true));
+    assert!(
+        unreported.refused * 20 > unreported.started,
+        "without reports, loading engines must refuse items: {unreported:?}"
+    );
+    assert!(
+        reported.refused * 5 < unreported.refused,
+        "without reports: {unreported:?}, with reports: {reported:?}"
+    );
+    assert!(reported.refused * 50 < reported.started, "{reported:?}");
 }
 
 #[test]
-fn an_ended_load_tells_the_new_version_at_once() {
-    let (orders, mut board) = (LoadTable::default(), server_board());
+fn completed_load_reports_the_new_version_immediately() {
+    let (orders, mut targets) = (LoadTable::default(), server_targets());
     let (model, version) = (model(), ModelVersion::new(2));
     let needs_new = TargetRequirements {
         model: Some((&model, version)),
@@ -133,38 +136,38 @@
         ..TargetRequirements::default()
     };
     let mut rng = ChaCha8Rng::seed_from_u64(2);
-    let (begun, ended) = (Moment::START, Moment::START + LOAD);
+    let (started_at, ended_at) = (Moment::START, Moment::START + LOAD_DURATION);
     orders.load_started(&engine(3), &model, version);
-    apply_loads(&mut board, begun, &orders.current_loads(begun));
-    assert_eq!(board.choose(begun, &service(), &needs_new, &mut rng), None);
-    orders.load_ended(ended, &engine(3), true);
-    apply_loads(&mut board, ended, &orders.current_loads(ended));
-    let slot = board.choose(ended, &service(), &needs_new, &mut rng);
+    apply_loads(&mut targets, started_at, &orders.current_loads(started_at));
+    assert_eq!(targets.choose(started_at, &service(), &needs_new, &mut rng), None);
+    orders.load_ended(ended_at, &engine(3), true);
+    apply_loads(&mut targets, ended_at, &orders.current_loads(ended_at));
+    let slot = targets.choose(ended_at, &service(), &needs_new, &mut rng);
     assert_eq!(slot.map(|slot| slot.instance), Some(engine(3)));
 }
 
 #[test]
-fn a_failed_load_gives_the_engine_back_under_its_old_version() {
-    let (orders, mut board) = (LoadTable::default(), server_board());
+fn failed_load_frees_the_engine_with_its_old_version() {
+    let (orders, mut targets) = (LoadTable::default(), server_targets());
     let (model, old) = (model(), ModelVersion::new(1));
     orders.load_started(&engine(0), &model, ModelVersion::new(2));
     orders.load_ended(Moment::START, &engine(0), false);
-    apply_loads(&mut board, Moment::START, &orders.current_loads(Moment::START));
-    let held = board.record(&engine(0)).map(|record| record.models.clone());
+    apply_loads(&mut targets, Moment::START, &orders.current_loads(Moment::START));
+    let held = targets.record(&engine(0)).map(|record| record.models.clone());
     assert_eq!(held, Some(vec![HeldModel { model, version: old }]));
 }
 
-/// Word of a box that is gone must not keep an engine idle.
+/// Guards against engines that stay idle because of the last report of a stopped box.
 #[test]
-fn a_load_of_which_nothing_more_is_heard_is_believed_for_less_than_a_second() {
-    let (orders, mut board) = (LoadTable::default(), server_board());
-    let need = TargetRequirements { free_slot: true, ..TargetRequirements::default() };
+fn load_report_without_updates_expires_within_a_second() {
+    let (orders, mut targets) = (LoadTable::default(), server_targets());
+    let requirements = TargetRequirements { free_slot: true, ..TargetRequirements::default() };
     for number in 0..ENGINES {
         orders.load_started(&engine(number), &model(), ModelVersion::new(2));
     }
     let mut rng = ChaCha8Rng::seed_from_u64(3);
-    apply_loads(&mut board, Moment::START, &orders.current_loads(Moment::START));
-    assert_eq!(board.choose(Moment::START, &service(), &need, &mut rng), None);
+    apply_loads(&mut targets, Moment::START, &orders.current_loads(Moment::START));
+    assert_eq!(targets.choose(Moment::START, &service(), &requirements, &mut rng), None);
     let later = Moment::START + Duration::from_secs(1);
-    assert!(board.choose(later, &service(), &need, &mut rng).is_some());
+    assert!(targets.choose(later, &service(), &requirements, &mut rng).is_some());
 }
--- a/crates/xtask/src/mutate.rs
+++ b/crates/xtask/src/mutate.rs
@@ -519,7 +519,7 @@
         from: "if load.ended { now } else { now + LOAD_REPORT_TTL }",
         to: "if load.ended { now } else { now + LOAD_REPORT_TTL * 0 }",
         package: "shards",
-        test: "told_of_loads_is_seldom_turned_away",
+        test: "load_reports_prevent_most_refusals",
     },
     Mutation {
         name: "platform: no connection is used again where a target tells one second",
