--- a/crates/gannetwayd/src/apply.rs
+++ b/crates/gannetwayd/src/apply.rs
@@ -12,9 +12,9 @@
 use crate::documents::CONFIG_NAME;
 
 /// Tries before a change is given back as not accepted.
-const TRIES: u32 = 8;
+const MAX_WRITE_ATTEMPTS: u32 = 8;
 /// Most of the pause between tries, in milliseconds.
-const PAUSE_MS: u64 = 100;
+const MAX_RETRY_DELAY_MS: u64 = 100;
 
 /// What came of a change.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -23,9 +23,9 @@
     pub config: FleetConfig,
 }
 
-enum TryEnd {
+enum AttemptResult {
     Accepted(FleetConfig),
-    Again(StoreError),
+    Retry(StoreError),
 }
 
 /// Adds or replaces a pool. With `if_generation`, a pool changed after that generation is a
@@ -36,22 +36,22 @@
     if_generation: Option<Generation>,
     write_id: &str,
 ) -> Result<AppliedChange, ErrorBody> {
-    let mut last = StoreError::Unavailable;
+    let mut last_error = StoreError::Unavailable;
     let mut maybe_written = false;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_WRITE_ATTEMPTS {
         match try_apply(store, &spec, if_generation, write_id).await? {
-            TryEnd::Accepted(config) => return Ok(AppliedChange { config }),
-            TryEnd::Again(error) => {
+            AttemptResult::Accepted(config) => return Ok(AppliedChange { config }),
+            AttemptResult::Retry(error) => {
                 maybe_written |= error == StoreError::Unknown;
-                last = error;
+                last_error = error;
             }
         }
-        let pause = rand::rng().random_range(0..=PAUSE_MS);
+        let pause = rand::rng().random_range(0..=MAX_RETRY_DELAY_MS);
         time::sleep(Duration::from_millis(pause)).await;
     }
     let kind = if maybe_written { ErrorKind::Unknown } else { ErrorKind::NotRun };
     let message =
-        format!("the change was not confirmed ({last}): apply it again, which is harmless");
+        format!("the change was not confirmed ({last_error}): apply it again, which is harmless");
     Err(ErrorBody::new(kind, message))
 }
 
@@ -60,19 +60,19 @@
     spec: &PoolSpec,
     if_generation: Option<Generation>,
     write_id: &str,
-) -> Result<TryEnd, ErrorBody> {
+) -> Result<AttemptResult, ErrorBody> {
     let key = ObjectKey::new(ObjectKind::Config, CONFIG_NAME);
     let (version, current) = match read_config(store, &key).await {
         Ok(read) => read,
         Err(error @ StoreError::BadValue { .. }) => {
             return Err(ErrorBody::new(ErrorKind::Conflict, error.to_string()));
         }
-        Err(error) => return Ok(TryEnd::Again(error)),
+        Err(error) => return Ok(AttemptResult::Retry(error)),
     };
     if let Some(entry) = current.pools.get(&spec.name) {
         // An earlier try took effect and its answer was lost.
         if entry.write_id == write_id {
-            return Ok(TryEnd::Accepted(current));
+            return Ok(AttemptResult::Accepted(current));
         }
         if if_generation.is_some_and(|seen| entry.changed > seen) {
             let message = format!(
@@ -87,8 +87,8 @@
     let value = serde_json::to_value(&next)
         .map_err(|error| ErrorBody::new(ErrorKind::BadRequest, error.to_string()))?;
     match store.write(&key, version, value).await {
-        Ok(_) => Ok(TryEnd::Accepted(next)),
-        Err(error) => Ok(TryEnd::Again(error)),
+        Ok(_) => Ok(AttemptResult::Accepted(next)),
+        Err(error) => Ok(AttemptResult::Retry(error)),
     }
 }
 
--- a/crates/gannetwayd/src/context.rs
+++ b/crates/gannetwayd/src/context.rs
@@ -1,4 +1,4 @@
-//! What every part of the box shares.
+//! State shared by all parts of a box.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,105 +16,109 @@
 use wire::peer::{Request, request};
 
 use crate::clock::ProcessClock;
-use crate::conductor::RolloutBoard;
+use crate::coordinator::RolloutTable;
 use crate::home::HomeRegistry;
 use crate::keeper::KeeperRegistry;
 use crate::metrics::BoxMetrics;
 use crate::settings::Settings;
 use crate::trace::HopTracer;
 
-/// The configuration and target list in force.
+/// The current configuration and target list.
 #[derive(Debug, Clone, Default)]
 pub struct Documents {
     /// The configuration.
     pub config: Arc<FleetConfig>,
     /// The targets.
     pub targets: Arc<TargetIndex>,
-    /// Whether the newest generation that could be asked for has been learnt.
+    /// Whether each document was loaded, or a read of the platform showed that there is none.
     pub ready: bool,
 }
 
 impl Documents {
-    /// The record of one target.
+    /// Returns the record of a target.
     pub fn target(&self, id: &TargetId) -> Option<&TargetRecord> {
         self.targets.find(id)
     }
 }
 
-/// Where a call goes.
+/// Destination of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Place {
+pub enum BoxLocation {
     /// This box.
     Here,
     /// The box at this address.
     At(String),
 }
 
-/// A request that this box makes to itself.
+/// A request that this box sends to itself.
 #[derive(Debug)]
 pub struct LocalRequest {
     /// The request.
     pub request: Request,
-    /// Where its answer goes.
+    /// Receives the response.
     pub sink: ResponseSink,
-    /// Ends when the caller goes away.
+    /// Cancelled when the caller disconnects.
     pub cancel: CancellationToken,
 }
 
-/// Shared by all parts of one box.
+/// State shared by all parts of one box.
 #[derive(Debug)]
 pub struct BoxParts {
     /// The settings.
     pub settings: Settings,
     /// The box's own record.
     pub me: MemberRecord,
-    /// The clock.
+    /// Monotonic clock of the process.
     pub clock: ProcessClock,
     /// Connections to peers.
     pub links: LinkPool,
-    /// The platform, for control.
+    /// Client of the platform's object store.
     pub store: HttpStore,
-    /// HTTP client for control: states, orders.
+    /// HTTP client for control requests to engines, such as state polls and swap orders.
     pub control_http: reqwest::Client,
-    /// HTTP client for traffic: streams, plain requests, scores.
+    /// HTTP client for traffic, such as streams, plain requests and scores.
     pub traffic_http: reqwest::Client,
-    /// The members as last seen.
+    /// The current member table.
     pub members: watch::Receiver<Arc<MemberTable>>,
-    /// The documents in force.
+    /// The current documents.
     pub documents: watch::Receiver<Documents>,
-    /// Homes of targets.
+    /// Target homes on this box.
     pub homes: HomeRegistry,
-    /// Keepers of steps.
+    /// Step keepers on this box.
     pub keepers: KeeperRegistry,
-    /// Roll-outs conducted here.
-    pub rollouts: RolloutBoard,
-    /// Metrics.
+    /// Status of the rollouts coordinated by this box.
+    pub rollouts: RolloutTable,
+    /// Metrics of this box.
     pub metrics: BoxMetrics,
-    /// Traces.
+    /// Creates trace spans.
     pub tracer: HopTracer,
-    /// The runtime of the control thread.
+    /// Runtime of the control thread.
     pub control: Handle,
-    /// The runtime for traffic.
+    /// Runtime for traffic.
     pub traffic: Handle,
-    /// Whether the platform answered when it was last asked.
-    pub platform_answers: AtomicBool,
-    /// Requests to this box itself.
+    /// Whether the last request to the platform succeeded.
+    pub platform_available: AtomicBool,
+    /// Queue of requests that this box sends to itself.
     pub local: mpsc::UnboundedSender<LocalRequest>,
-    /// Ends when a planned stop begins.
+    /// Cancelled when a planned stop begins.
     pub leaving: CancellationToken,
-    /// Ends when everything stops.
+    /// Cancelled when all tasks must stop.
     pub stop: CancellationToken,
 }
 
-/// A handle on the box's parts.
+/// Shared handle of [`BoxParts`].
 pub type BoxContext = Arc<BoxParts>;
 
 impl BoxParts {
-    /// Sends a request to a box, this one or another.
-    pub async fn call(&self, place: &Place, request: Request) -> Result<ResponseStream, CallError> {
-        match place {
-            Place::At(address) => self.links.call(address, request).await,
-            Place::Here => {
+    /// Sends a request to this box or to another one.
+    pub async fn call(
+        &self,
+        location: &BoxLocation,
+        request: Request,
+    ) -> Result<ResponseStream, CallError> {
+        match location {
+            BoxLocation::At(address) => self.links.call(address, request).await,
+            BoxLocation::Here => {
                 let (sink, stream, cancel) = ResponseStream::local();
                 let sent = self.local.send(LocalRequest { request, sink, cancel });
                 sent.map_err(|_closed| CallError::NotSent { address: "this box".to_owned() })?;
@@ -123,30 +127,34 @@
         }
     }
 
-    /// Where the box with this record is reached.
-    pub fn place_of(&self, record: &MemberRecord) -> Place {
-        if record.id == self.me.id { Place::Here } else { Place::At(record.address.clone()) }
+    /// Returns the location of the box with this record.
+    pub fn location_of(&self, record: &MemberRecord) -> BoxLocation {
+        if record.id == self.me.id {
+            BoxLocation::Here
+        } else {
+            BoxLocation::At(record.address.clone())
+        }
     }
 
-    /// Notes whether the platform answered; says so in the log when that changes.
-    pub fn note_platform(&self, answers: bool) {
-        if self.platform_answers.swap(answers, Ordering::Relaxed) == answers {
+    /// Records whether the platform is available, and logs changes.
+    pub fn record_platform_status(&self, available: bool) {
+        if self.platform_available.swap(available, Ordering::Relaxed) == available {
             return;
         }
-        if answers {
-            log::info!(target: "box", "platform answers again");
+        if available {
+            log::info!(target: "box", "platform available again");
         } else {
-            log::warn!(target: "box", "platform does not answer");
+            log::warn!(target: "box", "platform not available");
         }
     }
 
-    /// Whether a planned stop has begun.
+    /// Returns whether a planned stop has begun.
     pub fn is_leaving(&self) -> bool {
         self.leaving.is_cancelled()
     }
 }
 
-/// A request to a box with a fresh id and this much time left; a peer refuses one without any.
+/// Creates a request with a new id. Peers refuse requests with no time left.
 pub fn new_request(body: request::Body, traceparent: &str, time_left: Duration) -> Request {
     Request {
         request_id: new_request_id().to_string(),
@@ -156,17 +164,17 @@
     }
 }
 
-/// A time in milliseconds, for the wire.
+/// Converts a duration to whole milliseconds for the wire.
 pub fn wire_millis(time: Duration) -> u64 {
     whole_millis(time)
 }
 
-/// A fresh request id.
+/// Returns a new random request id.
 ///
 /// # Panics
 ///
-/// Never: hexadecimal digits behind a letter make an id.
+/// Never: a letter followed by hexadecimal digits is a valid id.
 pub fn new_request_id() -> RequestId {
     let number: u128 = rand::rng().random();
-    format!("r{number:032x}").parse().expect("hexadecimal digits make an id")
+    format!("r{number:032x}").parse().expect("a letter and hexadecimal digits form a valid id")
 }
--- a/crates/gannetwayd/src/conductor.rs
+++ b/crates/gannetwayd/src/coordinator.rs
@@ -1,7 +1,7 @@
-//! Conducts roll-outs of versions in this box's failure domain, under one lease.
+//! Coordinates rollouts of weight versions in this box's failure domain, under a lease.
 //!
-//! One lease covers all pools of the domain: a lease for each would cost the platform a write
-//! a second for every pool and domain, 300 of them at the two-year size.
+//! One lease covers all pools of the domain, since a lease per pool would multiply the renewal
+//! writes to the platform.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -19,24 +19,24 @@
 use wire::peer::{self, OrderOutcome, ReadReplica, request, response_item};
 
 use crate::context::{BoxContext, new_request, wire_millis};
-use crate::lease::{LeaseAnswer, call_store};
+use crate::lease::{LeaseResponse, run_lease_action};
 use crate::route::call_home;
 
-/// Time between looks at what is due.
+/// Interval at which due actions are checked.
 const TICK: Duration = Duration::from_millis(100);
-/// Slack beyond an order's life before the home counts as silent.
-const ORDER_SLACK: Duration = Duration::from_secs(1);
-/// Longest wait for a reading.
-const READ_SILENCE: Duration = Duration::from_secs(2);
+/// Slack added to an order's lifetime before the call to the home times out.
+const ORDER_TIMEOUT_SLACK: Duration = Duration::from_secs(1);
+/// Timeout for reading a replica's state.
+const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Roll-outs conducted on this box, for operators.
+/// Status of the rollouts coordinated by this box, for operators.
 #[derive(Debug, Clone, Default)]
-pub struct RolloutBoard {
+pub struct RolloutTable {
     rollouts: Arc<Mutex<Vec<RolloutStatus>>>,
 }
 
-impl RolloutBoard {
-    /// The roll-outs as last seen.
+impl RolloutTable {
+    /// Returns the last published status of all rollouts.
     pub fn all(&self) -> Vec<RolloutStatus> {
         self.lock().clone()
     }
@@ -46,20 +46,20 @@
     }
 }
 
-/// Owns the roll-outs of this box.
+/// Coordinates the rollouts of this box.
 #[derive(Debug, Actor)]
-pub struct ConductorActor {
+pub struct CoordinatorActor {
     ctx: BoxContext,
-    /// The claim on the domain's lease, while this box is the one that should hold it.
+    /// Claim on the domain's lease; present while this box is its owner or still holds it.
     claim: Option<LeaseClaim>,
-    conductors: HashMap<PoolName, RolloutCoordinator>,
+    coordinators: HashMap<PoolName, RolloutCoordinator>,
 }
 
 #[derive(Debug)]
-struct ConductorTick;
+struct CoordinatorTick;
 
 #[derive(Debug)]
-struct ConductorLeaseAnswered(LeaseAnswer);
+struct CoordinatorLeaseActionDone(LeaseResponse);
 
 #[derive(Debug)]
 struct OrderDone {
@@ -72,25 +72,25 @@
 struct ReplicaRead {
     pool: PoolName,
     target: TargetId,
-    asked_at: Moment,
+    requested_at: Moment,
     reading: Option<(Incarnation, Option<ModelVersion>)>,
 }
 
-/// Frees the lease, for a planned stop.
+/// Releases the lease on a planned stop.
 #[derive(Debug)]
 pub struct ReleaseRollouts;
 
-impl ConductorActor {
-    /// Starts the actor on the control thread.
+impl CoordinatorActor {
+    /// Spawns the actor on the control thread.
     pub fn start(ctx: &BoxContext) -> ActorRef<Self> {
         let _on_control = ctx.control.enter();
         let actor =
-            Self::spawn(Self { ctx: Arc::clone(ctx), claim: None, conductors: HashMap::new() });
+            Self::spawn(Self { ctx: Arc::clone(ctx), claim: None, coordinators: HashMap::new() });
         let (stop, ticker) = (ctx.stop.clone(), actor.clone());
         tokio::spawn(async move {
             let mut interval = time::interval(TICK);
             while stop.run_until_cancelled(interval.tick()).await.is_some() {
-                if ticker.tell(ConductorTick).await.is_err() {
+                if ticker.tell(CoordinatorTick).await.is_err() {
                     return;
                 }
             }
@@ -101,15 +101,15 @@
     fn drive(&mut self, me: &ActorRef<Self>) {
         let now = self.ctx.clock.now();
         self.drive_lease(now, me);
-        // Without the lease nothing is ordered: a swap ordered twice is not harmless.
+        // Swap orders are not idempotent, so none is sent without the lease.
         match self.claim.as_ref().and_then(|claim| claim.held(now)) {
             Some(token) => self.drive_pools(now, token, me),
-            None => self.conductors.clear(),
+            None => self.coordinators.clear(),
         }
-        self.show();
+        self.publish_status();
     }
 
-    /// Claims the domain's lease while it is this box's duty; else lets it run out.
+    /// Claims the domain's lease while this box is its owner; otherwise lets it expire.
     fn drive_lease(&mut self, now: Moment, me: &ActorRef<Self>) {
         if self.ctx.is_leaving() || !self.is_owner(now) {
             let held = self.claim.as_ref().is_some_and(|claim| claim.held(now).is_some());
@@ -121,7 +121,7 @@
         let ctx = &self.ctx;
         let action = self.claim.get_or_insert_with(|| new_claim(ctx)).poll(now);
         if let Some(action) = action {
-            self.do_lease(action, me);
+            self.spawn_lease_action(action, me);
         }
     }
 
@@ -133,17 +133,17 @@
             .map(|entry| (&entry.spec, self.replicas_here(&entry.spec)))
             .filter(|(_, replicas)| !replicas.is_empty())
             .collect();
-        // Another token means another reign: what was read under the one before counts no more.
-        self.conductors.retain(|name, conductor| {
-            conductor.token() == token && pools.iter().any(|(spec, _)| spec.name == *name)
+        // Readings made under an earlier token are no longer valid.
+        self.coordinators.retain(|name, coordinator| {
+            coordinator.token() == token && pools.iter().any(|(spec, _)| spec.name == *name)
         });
         for (spec, replicas) in pools {
-            let conductor = self.conductors.entry(spec.name.clone()).or_insert_with(|| {
-                log::info!(target: "conductor", pool:% = spec.name, token:% = token; "conducting");
+            let coordinator = self.coordinators.entry(spec.name.clone()).or_insert_with(|| {
+                log::info!(target: "conductor", pool:% = spec.name, token:% = token; "coordinating rollouts");
                 RolloutCoordinator::new(now, token)
             });
-            conductor.want(spec.version, spec.swap, replicas);
-            for action in conductor.poll(now) {
+            coordinator.want(spec.version, spec.swap, replicas);
+            for action in coordinator.poll(now) {
                 match action {
                     RolloutAction::Order(order) => send_order(&self.ctx, &spec.name, order, me),
                     RolloutAction::Read(target) => send_read(&self.ctx, &spec.name, target, me),
@@ -168,18 +168,18 @@
             .collect()
     }
 
-    fn do_lease(&self, action: LeaseAction, me: &ActorRef<Self>) {
+    fn spawn_lease_action(&self, action: LeaseAction, me: &ActorRef<Self>) {
         let (ctx, key, me) = (Arc::clone(&self.ctx), lease_key(&self.ctx), me.clone());
         self.ctx.control.spawn(async move {
-            let answer = call_store(&ctx.store, &key, action).await;
-            // The actor is gone only when the box stops.
-            let _stopped = me.tell(ConductorLeaseAnswered(answer)).await;
+            let response = run_lease_action(&ctx.store, &key, action).await;
+            // Sending fails only when the box stops.
+            let _stopped = me.tell(CoordinatorLeaseActionDone(response)).await;
         });
     }
 
-    fn show(&self) {
-        let shown = self.conductors.iter().map(|(pool, conductor)| {
-            let progress = conductor.progress();
+    fn publish_status(&self) {
+        let shown = self.coordinators.iter().map(|(pool, coordinator)| {
+            let progress = coordinator.progress();
             RolloutStatus {
                 pool: pool.clone(),
                 wanted: progress.wanted,
@@ -206,28 +206,34 @@
     ObjectKey::new(ObjectKind::Lease, format!("conductor:{}", ctx.me.domain))
 }
 
-fn send_order(ctx: &BoxContext, pool: &PoolName, order: SwapOrder, me: &ActorRef<ConductorActor>) {
-    log::info!(target: "conductor", pool:% = pool, at:% = order.target, version:% = order.version; "ordering");
+fn send_order(
+    ctx: &BoxContext,
+    pool: &PoolName,
+    order: SwapOrder,
+    me: &ActorRef<CoordinatorActor>,
+) {
+    log::info!(target: "conductor", pool:% = pool, at:% = order.target, version:% = order.version; "sending swap order");
     let (task_ctx, pool, me) = (Arc::clone(ctx), pool.clone(), me.clone());
     ctx.control.spawn(async move {
         let outcome = order_at_home(&task_ctx, &order).await;
         let done = OrderDone { pool, target: order.target, outcome };
-        // The actor is gone only when the box stops.
+        // Sending fails only when the box stops.
         let _stopped = me.tell(done).await;
     });
 }
 
-fn send_read(ctx: &BoxContext, pool: &PoolName, target: TargetId, me: &ActorRef<ConductorActor>) {
+fn send_read(ctx: &BoxContext, pool: &PoolName, target: TargetId, me: &ActorRef<CoordinatorActor>) {
     let (task_ctx, pool, me) = (Arc::clone(ctx), pool.clone(), me.clone());
     ctx.control.spawn(async move {
-        let asked_at = task_ctx.clock.now();
+        let requested_at = task_ctx.clock.now();
         let reading = read_at_home(&task_ctx, &target).await.ok();
-        // The actor is gone only when the box stops.
-        let _stopped = me.tell(ReplicaRead { pool, target, asked_at, reading }).await;
+        // Sending fails only when the box stops.
+        let _stopped = me.tell(ReplicaRead { pool, target, requested_at, reading }).await;
     });
 }
 
-/// `true` when done, `false` when refused or surely not sent, `None` when nobody can tell.
+/// Returns `Some(true)` when done, `Some(false)` when refused or definitely not run, and `None`
+/// when the outcome is unknown.
 async fn order_at_home(ctx: &BoxContext, order: &SwapOrder) -> Option<bool> {
     let body = request::Body::SwapOrder(peer::SwapOrder {
         target: order.target.to_string(),
@@ -236,11 +242,11 @@
         life_ms: wire_millis(order.life),
     });
     let called = call_home(ctx, &order.target, new_request(body, "", order.life)).await;
-    let answer = match called {
-        Ok(stream) => stream.single(order.life + ORDER_SLACK).await,
+    let response = match called {
+        Ok(stream) => stream.single(order.life + ORDER_TIMEOUT_SLACK).await,
         Err(error) => Err(error),
     };
-    match answer.map(|item| item.body) {
+    match response.map(|item| item.body) {
         Ok(Some(response_item::Body::OrderEnded(ended))) => match ended.outcome() {
             OrderOutcome::Done => Some(true),
             OrderOutcome::Refused => Some(false),
@@ -256,77 +262,77 @@
     target: &TargetId,
 ) -> Result<(Incarnation, Option<ModelVersion>), CallError> {
     let body = request::Body::ReadReplica(ReadReplica { target: target.to_string() });
-    let stream = call_home(ctx, target, new_request(body, "", READ_SILENCE)).await?;
-    let Some(response_item::Body::Replica(replica)) = stream.single(READ_SILENCE).await?.body
+    let stream = call_home(ctx, target, new_request(body, "", READ_TIMEOUT)).await?;
+    let Some(response_item::Body::Replica(replica)) = stream.single(READ_TIMEOUT).await?.body
     else {
-        return Err(CallError::Broken { why: "an answer that is no reading" });
+        return Err(CallError::Broken { why: "response is not a replica reading" });
     };
     let version = replica.version.filter(|_| !replica.loading).map(ModelVersion::new);
     Ok((Incarnation::new(replica.incarnation), version))
 }
 
-impl Message<ConductorTick> for ConductorActor {
+impl Message<CoordinatorTick> for CoordinatorActor {
     type Reply = ();
 
-    async fn handle(&mut self, _: ConductorTick, ctx: &mut Context<Self, ()>) {
+    async fn handle(&mut self, _: CoordinatorTick, ctx: &mut Context<Self, ()>) {
         self.drive(&ctx.actor_ref());
     }
 }
 
-impl Message<ConductorLeaseAnswered> for ConductorActor {
+impl Message<CoordinatorLeaseActionDone> for CoordinatorActor {
     type Reply = ();
 
-    async fn handle(&mut self, msg: ConductorLeaseAnswered, ctx: &mut Context<Self, ()>) {
+    async fn handle(&mut self, msg: CoordinatorLeaseActionDone, ctx: &mut Context<Self, ()>) {
         let now = self.ctx.clock.now();
         if let Some(claim) = &mut self.claim {
             match msg.0 {
-                LeaseAnswer::Read(outcome) => claim.read_done(now, outcome),
-                LeaseAnswer::Written(outcome) => claim.write_done(now, outcome),
+                LeaseResponse::Read(outcome) => claim.read_done(now, outcome),
+                LeaseResponse::Written(outcome) => claim.write_done(now, outcome),
             }
         }
         self.drive(&ctx.actor_ref());
     }
 }
 
-impl Message<OrderDone> for ConductorActor {
+impl Message<OrderDone> for CoordinatorActor {
     type Reply = ();
 
     async fn handle(&mut self, msg: OrderDone, ctx: &mut Context<Self, ()>) {
         let now = self.ctx.clock.now();
-        log::info!(target: "conductor", pool:% = msg.pool, at:% = msg.target, done:? = msg.outcome; "order ended");
-        if let Some(conductor) = self.conductors.get_mut(&msg.pool) {
-            conductor.order_completed(now, &msg.target, msg.outcome);
+        log::info!(target: "conductor", pool:% = msg.pool, at:% = msg.target, done:? = msg.outcome; "swap order completed");
+        if let Some(coordinator) = self.coordinators.get_mut(&msg.pool) {
+            coordinator.order_completed(now, &msg.target, msg.outcome);
         }
         self.drive(&ctx.actor_ref());
     }
 }
 
-impl Message<ReplicaRead> for ConductorActor {
+impl Message<ReplicaRead> for CoordinatorActor {
     type Reply = ();
 
     async fn handle(&mut self, msg: ReplicaRead, ctx: &mut Context<Self, ()>) {
         let now = self.ctx.clock.now();
-        if let Some(conductor) = self.conductors.get_mut(&msg.pool) {
+        if let Some(coordinator) = self.coordinators.get_mut(&msg.pool) {
             match msg.reading {
-                Some((life, version)) => {
-                    conductor.read(msg.asked_at, now, &msg.target, life, version);
+                Some((incarnation, version)) => {
+                    coordinator.read(msg.requested_at, now, &msg.target, incarnation, version);
                 }
-                None => conductor.read_failed(now, &msg.target),
+                None => coordinator.read_failed(now, &msg.target),
             }
         }
         self.drive(&ctx.actor_ref());
     }
 }
 
-impl Message<ReleaseRollouts> for ConductorActor {
+impl Message<ReleaseRollouts> for CoordinatorActor {
     type Reply = ();
 
     async fn handle(&mut self, _: ReleaseRollouts, ctx: &mut Context<Self, ()>) {
         let now = self.ctx.clock.now();
         if let Some(action) = self.claim.as_mut().and_then(|claim| claim.release(now)) {
-            self.do_lease(action, &ctx.actor_ref());
+            self.spawn_lease_action(action, &ctx.actor_ref());
         }
-        self.conductors.clear();
-        self.show();
+        self.coordinators.clear();
+        self.publish_status();
     }
 }
--- a/crates/gannetwayd/src/daemon.rs
+++ b/crates/gannetwayd/src/daemon.rs
@@ -18,12 +18,12 @@
 use wire::peer::{TakeOver, request};
 
 use crate::clock::{ProcessClock, incarnation_from_wall_clock};
-use crate::conductor::{ConductorActor, ReleaseRollouts, RolloutBoard};
-use crate::context::{BoxContext, BoxParts, Documents, Place, new_request};
+use crate::context::{BoxContext, BoxLocation, BoxParts, Documents, new_request};
+use crate::coordinator::{CoordinatorActor, ReleaseRollouts, RolloutTable};
 use crate::documents::DocumentActor;
 use crate::home::HomeRegistry;
 use crate::http::{self, HttpState};
-use crate::keeper::{GivenUp, HandOverSteps, KeeperHandle, KeeperKey, KeeperRegistry};
+use crate::keeper::{HandOverReply, HandOverSteps, KeeperHandle, KeeperKey, KeeperRegistry};
 use crate::members::{LeaveFleet, MemberActor};
 use crate::metrics::BoxMetrics;
 use crate::peer::{BoxHandler, serve_local};
@@ -31,11 +31,11 @@
 use crate::trace::HopTracer;
 
 /// Time between looks at what a planned stop still waits for.
-const DRAIN_LOOK: Duration = Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Share of the drain limit that attempts at samples may take, as one part in this many.
-const ATTEMPT_PARTS: u32 = 3;
+const ATTEMPT_DRAIN_DIVISOR: u32 = 3;
 /// Longest wait for a successor's answer.
-const HAND_OVER_TIME: Duration = Duration::from_secs(3);
+const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A running box.
 #[derive(Debug)]
@@ -46,7 +46,7 @@
     pub caller_address: SocketAddr,
     http: HttpState,
     members: ActorRef<MemberActor>,
-    conductor: ActorRef<ConductorActor>,
+    coordinator: ActorRef<CoordinatorActor>,
     stop_http: CancellationToken,
 }
 
@@ -88,19 +88,19 @@
         documents: documents_out,
         homes: HomeRegistry::default(),
         keepers: KeeperRegistry::default(),
-        rollouts: RolloutBoard::default(),
+        rollouts: RolloutTable::default(),
         metrics: BoxMetrics::default(),
         tracer,
         control,
         traffic: Handle::current(),
-        platform_answers: AtomicBool::new(true),
+        platform_available: AtomicBool::new(true),
         local,
         leaving: CancellationToken::new(),
         stop: stop.clone(),
     });
     let members = MemberActor::start(&ctx, members_in);
     let documents = DocumentActor::start(&ctx, documents_in);
-    let conductor = ConductorActor::start(&ctx);
+    let coordinator = CoordinatorActor::start(&ctx);
     let handler = BoxHandler {
         ctx: Arc::clone(&ctx),
         members: members.clone(),
@@ -114,12 +114,12 @@
         .with_graceful_shutdown(stop_http.clone().cancelled_owned());
     tokio::spawn(async move { served.await });
     log::info!(target: "box", id:% = ctx.me.id, callers:% = caller_address, peers:% = ctx.me.address; "serving");
-    announce(&ctx, caller_address, peer_bound)?;
-    Ok(RunningBox { ctx, caller_address, http, members, conductor, stop_http })
+    print_addresses(&ctx, caller_address, peer_bound)?;
+    Ok(RunningBox { ctx, caller_address, http, members, coordinator, stop_http })
 }
 
 /// One line on standard output, for whoever started the box on free ports.
-fn announce(ctx: &BoxContext, callers: SocketAddr, bound: SocketAddr) -> io::Result<()> {
+fn print_addresses(ctx: &BoxContext, callers: SocketAddr, bound: SocketAddr) -> io::Result<()> {
     let mut out = io::stdout().lock();
     writeln!(out, "listening {callers} peers {} bound {bound}", ctx.me.address)?;
     out.flush()
@@ -135,8 +135,9 @@
         ctx.leaving.cancel();
         // Actors are gone only when the box has stopped.
         let _gone = self.members.tell(LeaveFleet).await;
-        let _gone = self.conductor.tell(ReleaseRollouts).await;
-        let attempts_until = time::Instant::now() + ctx.settings.drain_limit / ATTEMPT_PARTS;
+        let _gone = self.coordinator.tell(ReleaseRollouts).await;
+        let attempts_until =
+            time::Instant::now() + ctx.settings.drain_limit / ATTEMPT_DRAIN_DIVISOR;
         let notice = time::sleep(ctx.settings.drain_notice);
         tokio::join!(notice, self.hand_over_all(attempts_until));
         self.stop_http.cancel();
@@ -158,9 +159,9 @@
         let adopt = loop {
             let force = time::Instant::now() >= until;
             match handle.actor.ask(HandOverSteps { force }).await {
-                Ok(GivenUp::Steps(adopt)) => break adopt,
-                Ok(GivenUp::Busy) => time::sleep(DRAIN_LOOK).await,
-                Ok(GivenUp::Nothing) | Err(_) => return,
+                Ok(HandOverReply::Steps(adopt)) => break adopt,
+                Ok(HandOverReply::Busy) => time::sleep(DRAIN_POLL_INTERVAL).await,
+                Ok(HandOverReply::Nothing) | Err(_) => return,
             }
         };
         let ctx = &self.ctx;
@@ -169,9 +170,9 @@
             let lease = key.lease().to_string();
             members
                 .owner_in(ctx.clock.now(), &ctx.me.domain, &lease)
-                .map(|record| ctx.place_of(record))
+                .map(|record| ctx.location_of(record))
         };
-        let Some(place) = successor.filter(|place| *place != Place::Here) else {
+        let Some(location) = successor.filter(|location| *location != BoxLocation::Here) else {
             log::warn!(target: "keeper", trainer:% = key; "no successor, the trainer opens its steps again");
             return;
         };
@@ -183,14 +184,14 @@
             token: adopt.token.get(),
             snapshots: snapshots.collect(),
         };
-        let request = new_request(request::Body::TakeOver(take), "", HAND_OVER_TIME);
-        let taken = match ctx.call(&place, request).await {
-            Ok(mut stream) => stream.next(HAND_OVER_TIME).await.map(|_end| ()),
+        let request = new_request(request::Body::TakeOver(take), "", HAND_OVER_TIMEOUT);
+        let taken = match ctx.call(&location, request).await {
+            Ok(mut stream) => stream.next(HAND_OVER_TIMEOUT).await.map(|_end| ()),
             Err(error) => Err(error),
         };
         match taken {
             Ok(()) => {
-                log::info!(target: "keeper", trainer:% = key, to:? = place; "steps handed over");
+                log::info!(target: "keeper", trainer:% = key, to:? = location; "steps handed over");
             }
             Err(error) => {
                 log::warn!(target: "keeper", trainer:% = key, error:% = error; "hand-over failed, the trainer opens its steps again");
@@ -204,7 +205,7 @@
             if left == 0 || time::Instant::now() >= limit {
                 return left;
             }
-            time::sleep(DRAIN_LOOK).await;
+            time::sleep(DRAIN_POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/gannetwayd/src/documents.rs
+++ b/crates/gannetwayd/src/documents.rs
@@ -1,7 +1,8 @@
-//! Follows the configuration and the target list, from the platform and from peers.
+//! Tracks the configuration and the target list from the platform and from peers.
 //!
-//! Two boxes of a failure domain watch the platform; the others hear generations on heartbeats
-//! and fetch from the peer that named a higher one. A fresh box reads the platform once.
+//! In each failure domain, only the watchers watch the platform. Other boxes learn of generations
+//! from heartbeats and fetch newer documents from the peer that reported them. Every box reads the
+//! platform once at start.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,22 +19,22 @@
 use tokio::time;
 use wire::peer::{FetchDocuments, request, response_item};
 
-use crate::context::{BoxContext, Documents, Place, new_request};
+use crate::context::{BoxContext, BoxLocation, Documents, new_request};
 
-/// Name of the object that holds the configuration.
+/// Name of the platform object that contains the configuration.
 pub const CONFIG_NAME: &str = "fleet";
-/// Boxes of a failure domain that watch the platform.
-const WATCHERS: usize = 2;
-/// How long one watch waits.
+/// Number of boxes per failure domain that watch the platform.
+const WATCHERS_PER_DOMAIN: usize = 2;
+/// Maximum time that one watch request waits for a change.
 const WATCH_WAIT: Duration = Duration::from_secs(8);
-/// Time between looks at whether this box should watch.
-const IDLE_LOOK: Duration = Duration::from_millis(500);
-/// Shortest and longest pause after a failed read, in milliseconds.
-const RETRY_MS: std::ops::Range<u64> = 200..800;
-/// Longest wait for a peer's documents.
-const FETCH_SILENCE: Duration = Duration::from_secs(2);
+/// Interval at which a box that is not a watcher checks whether it became one.
+const WATCHER_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Range of the random delay after a failed read, in milliseconds.
+const RETRY_DELAY_MS: std::ops::Range<u64> = 200..800;
+/// Timeout for fetching documents from a peer.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Owns what is in force.
+/// Owns the current configuration and target list.
 #[derive(Debug, Actor)]
 pub struct DocumentActor {
     ctx: BoxContext,
@@ -43,21 +44,21 @@
     fetching: bool,
 }
 
-/// A configuration was read.
+/// Offers a configuration, which is applied if it is newer.
 #[derive(Debug)]
 pub struct OfferConfig(pub FleetConfig);
 
-/// A target list was read.
+/// Offers a target list, which is applied if it is newer.
 #[derive(Debug)]
 pub struct OfferTargets(pub TargetList);
 
-/// The platform answered for a kind.
+/// The platform responded to a read of this kind.
 #[derive(Debug)]
-struct PlatformAnswered(ObjectKind);
+struct PlatformResponded(ObjectKind);
 
-/// A peer told its generations.
+/// Generations reported by a peer.
 #[derive(Debug)]
-pub struct HeardGenerations {
+pub struct PeerGenerations {
     /// The peer.
     pub peer: BoxId,
     /// Its configuration generation.
@@ -66,12 +67,12 @@
     pub targets: Generation,
 }
 
-/// A fetch from a peer ended.
+/// Result of a fetch from a peer.
 #[derive(Debug)]
 struct FetchEnded(Result<(Option<FleetConfig>, Option<TargetList>), CallError>);
 
 impl DocumentActor {
-    /// Starts the actor and its watches, on the control thread.
+    /// Spawns the actor and its watch tasks on the control thread.
     pub fn start(ctx: &BoxContext, out: watch::Sender<Documents>) -> ActorRef<Self> {
         let _on_control = ctx.control.enter();
         let actor = Self::spawn(Self {
@@ -100,7 +101,7 @@
     fn offer_config(&mut self, config: FleetConfig) {
         let generation = config.generation;
         if self.config.offer(generation, Arc::new(config)) == OfferOutcome::Applied {
-            log::info!(target: "config", generation:% = generation; "configuration in force");
+            log::info!(target: "config", generation:% = generation; "configuration applied");
         }
     }
 
@@ -109,7 +110,7 @@
         if self.targets.offer(revision, Arc::new(TargetIndex::new(targets)))
             == OfferOutcome::Applied
         {
-            log::info!(target: "config", revision:% = revision; "target list in force");
+            log::info!(target: "config", revision:% = revision; "target list applied");
         }
     }
 
@@ -134,7 +135,7 @@
         let (ctx, actor) = (Arc::clone(&self.ctx), actor.clone());
         self.ctx.control.spawn(async move {
             let fetched = fetch(&ctx, address, request).await;
-            // The actor is gone only when the box stops.
+            // Sending fails only when the box stops.
             let _stopped = actor.tell(FetchEnded(fetched)).await;
         });
     }
@@ -158,10 +159,10 @@
     }
 }
 
-impl Message<PlatformAnswered> for DocumentActor {
+impl Message<PlatformResponded> for DocumentActor {
     type Reply = ();
 
-    async fn handle(&mut self, msg: PlatformAnswered, _: &mut Context<Self, ()>) {
+    async fn handle(&mut self, msg: PlatformResponded, _: &mut Context<Self, ()>) {
         match msg.0 {
             ObjectKind::Config => self.config.platform_answered(),
             _ => self.targets.platform_answered(),
@@ -170,10 +171,10 @@
     }
 }
 
-impl Message<HeardGenerations> for DocumentActor {
+impl Message<PeerGenerations> for DocumentActor {
     type Reply = ();
 
-    async fn handle(&mut self, msg: HeardGenerations, ctx: &mut Context<Self, ()>) {
+    async fn handle(&mut self, msg: PeerGenerations, ctx: &mut Context<Self, ()>) {
         self.config.observe_generation(msg.config, &msg.peer);
         self.targets.observe_generation(msg.targets, &msg.peer);
         self.fetch_if_behind(&ctx.actor_ref());
@@ -197,7 +198,7 @@
             }
             Err(error) => log::debug!(target: "config", error:% = error; "fetch from peer failed"),
         }
-        // Whoever is still ahead says so again on its next beat.
+        // Peers that are still ahead report it again with their next heartbeat.
         self.config.fetch_failed();
         self.targets.fetch_failed();
         self.publish();
@@ -210,11 +211,11 @@
     body: FetchDocuments,
 ) -> Result<(Option<FleetConfig>, Option<TargetList>), CallError> {
     let body = request::Body::FetchDocuments(body);
-    let request = new_request(body, "", FETCH_SILENCE);
-    let stream = ctx.call(&Place::At(address), request).await?;
-    let answer = stream.single(FETCH_SILENCE).await?;
-    let Some(response_item::Body::Documents(documents)) = answer.body else {
-        return Err(CallError::Broken { why: "an answer that holds no documents" });
+    let request = new_request(body, "", FETCH_TIMEOUT);
+    let stream = ctx.call(&BoxLocation::At(address), request).await?;
+    let response = stream.single(FETCH_TIMEOUT).await?;
+    let Some(response_item::Body::Documents(documents)) = response.body else {
+        return Err(CallError::Broken { why: "response contains no documents" });
     };
     let config = serde_json::from_slice(&documents.config).ok();
     let targets = serde_json::from_slice(&documents.targets).ok();
@@ -225,7 +226,7 @@
     let mut after = None;
     while !ctx.stop.is_cancelled() {
         if after.is_some() && !is_watcher(&ctx, kind) {
-            time::sleep(IDLE_LOOK).await;
+            time::sleep(WATCHER_CHECK_INTERVAL).await;
             continue;
         }
         let read = async {
@@ -235,7 +236,7 @@
             }
         };
         let Some(listed) = ctx.stop.run_until_cancelled(read).await else { return };
-        ctx.note_platform(listed.is_ok());
+        ctx.record_platform_status(listed.is_ok());
         match listed {
             Ok(listed) => {
                 after = Some(listed.revision);
@@ -249,19 +250,22 @@
 }
 
 async fn pause_after(kind: ObjectKind, error: &StoreError) {
-    log::debug!(target: "config", kind:% = kind, error:% = error; "platform not read");
-    let pause = rand::rng().random_range(RETRY_MS);
+    log::debug!(target: "config", kind:% = kind, error:% = error; "reading the platform failed");
+    let pause = rand::rng().random_range(RETRY_DELAY_MS);
     time::sleep(Duration::from_millis(pause)).await;
 }
 
-/// Whether this box is one of its domain's watchers of `kind`.
+/// Returns whether this box is one of its domain's watchers of `kind`.
 fn is_watcher(ctx: &BoxContext, kind: ObjectKind) -> bool {
     let now = ctx.clock.now();
-    let duty = format!("watch/{kind}");
-    ctx.members.borrow().ranked_in_own_domain(now, &duty, WATCHERS).contains(&ctx.me.id)
+    let watch_key = format!("watch/{kind}");
+    ctx.members
+        .borrow()
+        .ranked_in_own_domain(now, &watch_key, WATCHERS_PER_DOMAIN)
+        .contains(&ctx.me.id)
 }
 
-/// Hands a listing to the actor; `None` when the actor is gone.
+/// Sends a listing to the actor; returns `None` when the actor has stopped.
 async fn offer(
     actor: &ActorRef<DocumentActor>,
     kind: ObjectKind,
@@ -272,14 +276,14 @@
             match serde_json::from_value(object.value) {
                 Ok(config) => actor.tell(OfferConfig(config)).await.ok()?,
                 Err(error) => {
-                    log::error!(target: "config", error:% = error; "configuration cannot be read");
+                    log::error!(target: "config", error:% = error; "configuration cannot be parsed");
                 }
             }
         }
     } else {
         actor.tell(OfferTargets(target_list(listed))).await.ok()?;
     }
-    actor.tell(PlatformAnswered(kind)).await.ok()
+    actor.tell(PlatformResponded(kind)).await.ok()
 }
 
 fn target_list(listed: ListedObjects) -> TargetList {
--- a/crates/gannetwayd/src/home.rs
+++ b/crates/gannetwayd/src/home.rs
@@ -1,4 +1,4 @@
-//! Homes of targets: one admission queue each, and readings of engines.
+//! Target homes: an admission queue per target, and polling of engine state.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -18,20 +18,20 @@
 
 use crate::context::BoxContext;
 
-/// Time between an engine's readings; the wait of asks that expire is seen to as often.
-const READ_EVERY: Duration = Duration::from_millis(500);
-/// Time between readings while the replica's state is in doubt or unread.
-const DOUBT_READ_EVERY: Duration = Duration::from_millis(100);
-/// Failed readings in a row after which an engine counts as down.
-const FAILED_READS: u32 = 2;
-/// Most plain requests at one service at once.
-const PLAIN_LIMIT: usize = 256;
-/// Most requests at an engine that no pool names.
-const ENGINE_LIMIT: usize = 16;
+/// Polling interval of an engine; expired admission requests are removed at the same interval.
+const READ_INTERVAL: Duration = Duration::from_millis(500);
+/// Polling interval while the replica's state is in doubt or unread.
+const DOUBT_READ_INTERVAL: Duration = Duration::from_millis(100);
+/// Number of consecutive failed polls after which an engine is unreachable.
+const MAX_FAILED_READS: u32 = 2;
+/// Maximum number of concurrent plain requests at one target.
+const MAX_PLAIN_REQUESTS: usize = 256;
+/// Maximum number of concurrent requests at an engine that is in no pool.
+const DEFAULT_ENGINE_LIMIT: usize = 16;
 
 type Waiter = oneshot::Sender<Result<(), Refusal>>;
 
-/// Owns the admission to one target.
+/// Controls admission to one target.
 #[derive(Debug, Actor)]
 pub struct HomeActor {
     ctx: BoxContext,
@@ -42,7 +42,7 @@
     status: watch::Sender<ReplicaStatus>,
 }
 
-/// A home and what it last said of its target.
+/// Handle of a home, with the last published status of its target.
 #[derive(Debug, Clone)]
 pub struct HomeHandle {
     /// The actor.
@@ -51,73 +51,72 @@
     pub status: watch::Receiver<ReplicaStatus>,
 }
 
-/// Asks for a place at the target.
+/// Requests a permit to run at the target.
 #[derive(Debug)]
-pub struct AskPlace(pub AdmissionRequest);
+pub struct RequestPermit(pub AdmissionRequest);
 
-/// The answer to [`AskPlace`].
+/// The response to [`RequestPermit`].
 #[derive(Debug, Reply)]
-pub enum PlaceAnswer {
-    /// Begin now.
-    Go(TicketId),
-    /// Wait for the word.
-    Wait(TicketId, oneshot::Receiver<Result<(), Refusal>>),
-    /// It will not run here.
+pub enum PermitResponse {
+    /// The request may start now.
+    Admitted(TicketId),
+    /// The request is queued; the receiver yields the decision.
+    Queued(TicketId, oneshot::Receiver<Result<(), Refusal>>),
+    /// The request is rejected and will not run here.
     Refused(Refusal),
 }
 
-/// Gives a place back.
+/// Releases a permit.
 #[derive(Debug)]
-pub struct EndPlace {
-    /// The place.
+pub struct ReleasePermit {
+    /// Ticket of the permit.
     pub ticket: TicketId,
-    /// Tokens generated in it.
+    /// Number of tokens generated under the permit.
     pub tokens: TokenCount,
 }
 
-/// An engine was read, or did not answer.
+/// Result of polling an engine.
 #[derive(Debug)]
 struct EngineRead {
-    asked_at: Moment,
+    requested_at: Moment,
     state: Result<EngineState, TargetError>,
 }
 
-/// An order is about to go out; it may take effect until the deadline.
+/// Announces a swap order that is about to be sent.
 #[derive(Debug)]
 pub struct BeginOrder {
-    /// The version ordered.
+    /// The ordered version.
     pub version: ModelVersion,
-    /// Until when it may take effect.
+    /// Time until which the order may take effect.
     pub deadline: Moment,
 }
 
-/// An order ended.
+/// Reports that a swap order completed.
 #[derive(Debug)]
 pub struct EndOrder {
-    /// The version ordered.
+    /// The ordered version.
     pub version: ModelVersion,
-    /// How it ended.
+    /// Outcome of the order.
     pub outcome: OrderOutcome,
 }
 
-/// A chunk's stamp contradicts the version believed in.
+/// Reports a chunk whose version differs from the replica's expected version.
 #[derive(Debug)]
 pub struct StampContradicted;
 
-/// Time passed, or the documents changed.
 #[derive(Debug)]
 struct HomeTick;
 
-/// Asks for the target's load.
+/// Queries the target's load and status.
 #[derive(Debug)]
 pub struct QueryHome;
 
-/// The answer to [`QueryHome`].
+/// The response to [`QueryHome`].
 #[derive(Debug, Reply)]
 pub struct HomeView {
-    /// For the keepers that place work.
+    /// Load for the keepers that place work.
     pub hint: TargetHint,
-    /// For operators.
+    /// Status for operators.
     pub status: HomeStatus,
 }
 
@@ -128,7 +127,7 @@
 }
 
 impl HomeRegistry {
-    /// The home of a target, started if need be.
+    /// Returns the home of a target, starting it if needed.
     pub fn home(&self, ctx: &BoxContext, record: &TargetRecord) -> HomeHandle {
         let mut homes = self.lock();
         if let Some(handle) = homes.get(&record.id)
@@ -141,7 +140,7 @@
         handle
     }
 
-    /// All homes on this box.
+    /// Returns all homes on this box.
     pub fn all(&self) -> Vec<HomeHandle> {
         self.lock().values().cloned().collect()
     }
@@ -156,7 +155,7 @@
         let _on_control = ctx.control.enter();
         let (status, status_out) = watch::channel(ReplicaStatus::Unread);
         log::info!(target: "home", at:% = record.id; "home started");
-        let queue = TargetQueue::new(record.kind, PLAIN_LIMIT);
+        let queue = TargetQueue::new(record.kind, MAX_PLAIN_REQUESTS);
         let mut home = Self {
             ctx: Arc::clone(ctx),
             record: record.clone(),
@@ -165,7 +164,7 @@
             failed_reads: 0,
             status,
         };
-        home.follow_documents();
+        home.apply_documents();
         let actor = Self::spawn(home);
         if record.kind == TargetKind::Engine {
             let reader = EngineClient::new(&record.address, ctx.control_http.clone());
@@ -175,43 +174,44 @@
         HomeHandle { actor, status: status_out }
     }
 
-    fn follow_documents(&mut self) {
+    fn apply_documents(&mut self) {
         let documents = self.ctx.documents.borrow().clone();
         let limit = match self.record.kind {
             TargetKind::Engine => documents
                 .config
                 .engine_limit(&self.record.id)
-                .map_or(ENGINE_LIMIT, |limit| limit as usize),
-            TargetKind::Plain | TargetKind::Scorer => PLAIN_LIMIT,
+                .map_or(DEFAULT_ENGINE_LIMIT, |limit| limit as usize),
+            TargetKind::Plain | TargetKind::Scorer => MAX_PLAIN_REQUESTS,
         };
         self.queue.set_limit(limit);
         match documents.target(&self.record.id) {
             Some(record) if !record.leaving => self.queue.clear_leaving(),
-            // Gone from the list counts as leaving, once a list is there at all.
+            // A target missing from the list is leaving, unless no list has been loaded yet.
             Some(_) => self.queue.mark_leaving(),
             None if documents.ready => self.queue.mark_leaving(),
             None => {}
         }
     }
 
-    /// Tells the waiting what changed for them.
-    fn settle(&mut self) {
+    /// Delivers admission decisions to waiting requests and publishes the replica's status.
+    fn publish_changes(&mut self) {
         for event in self.queue.poll(self.ctx.clock.now()) {
-            let (ticket, word) = match event {
+            let (ticket, outcome) = match event {
                 QueueEvent::Go(ticket) => (ticket, Ok(())),
                 QueueEvent::Refused(ticket, refusal) => (ticket, Err(refusal)),
             };
-            let told = self.waiters.remove(&ticket).is_some_and(|waiter| waiter.send(word).is_ok());
-            if !told {
+            let delivered =
+                self.waiters.remove(&ticket).is_some_and(|waiter| waiter.send(outcome).is_ok());
+            if !delivered {
                 self.queue.withdraw(ticket);
             }
         }
         let status = self.queue.replica().status();
-        self.status.send_if_modified(|known| {
-            let changed = *known != status;
+        self.status.send_if_modified(|current| {
+            let changed = *current != status;
             if changed {
-                log::info!(target: "home", at:% = self.record.id, status:% = status; "replica changed");
-                *known = status;
+                log::info!(target: "home", at:% = self.record.id, status:% = status; "replica status changed");
+                *current = status;
             }
             changed
         });
@@ -242,32 +242,36 @@
     }
 }
 
-impl Message<AskPlace> for HomeActor {
-    type Reply = PlaceAnswer;
+impl Message<RequestPermit> for HomeActor {
+    type Reply = PermitResponse;
 
-    async fn handle(&mut self, msg: AskPlace, _: &mut Context<Self, PlaceAnswer>) -> PlaceAnswer {
+    async fn handle(
+        &mut self,
+        msg: RequestPermit,
+        _: &mut Context<Self, PermitResponse>,
+    ) -> PermitResponse {
         let admission = self.queue.request_admission(self.ctx.clock.now(), msg.0);
         match admission {
-            Admission::Admitted(ticket) => PlaceAnswer::Go(ticket),
-            Admission::Refused(refusal) => PlaceAnswer::Refused(refusal),
+            Admission::Admitted(ticket) => PermitResponse::Admitted(ticket),
+            Admission::Refused(refusal) => PermitResponse::Refused(refusal),
             Admission::Queued(ticket) => {
-                let (waiter, word) = oneshot::channel();
+                let (waiter, outcome) = oneshot::channel();
                 self.waiters.insert(ticket, waiter);
-                self.settle();
-                PlaceAnswer::Wait(ticket, word)
+                self.publish_changes();
+                PermitResponse::Queued(ticket, outcome)
             }
         }
     }
 }
 
-impl Message<EndPlace> for HomeActor {
+impl Message<ReleasePermit> for HomeActor {
     type Reply = ();
 
-    async fn handle(&mut self, msg: EndPlace, _: &mut Context<Self, ()>) {
+    async fn handle(&mut self, msg: ReleasePermit, _: &mut Context<Self, ()>) {
         self.waiters.remove(&msg.ticket);
         self.queue.ended(msg.ticket, msg.tokens);
         self.queue.withdraw(msg.ticket);
-        self.settle();
+        self.publish_changes();
     }
 }
 
@@ -277,14 +281,14 @@
     async fn handle(&mut self, msg: EngineRead, _: &mut Context<Self, ()>) {
         if let Ok(state) = msg.state {
             self.failed_reads = 0;
-            self.queue.read(msg.asked_at, &reading(&state));
+            self.queue.read(msg.requested_at, &reading(&state));
         } else {
             self.failed_reads += 1;
-            if self.failed_reads >= FAILED_READS {
+            if self.failed_reads >= MAX_FAILED_READS {
                 self.queue.unreachable();
             }
         }
-        self.settle();
+        self.publish_changes();
     }
 }
 
@@ -293,7 +297,7 @@
 
     async fn handle(&mut self, msg: BeginOrder, _: &mut Context<Self, ()>) {
         self.queue.order_sent(msg.version, msg.deadline);
-        self.settle();
+        self.publish_changes();
     }
 }
 
@@ -302,7 +306,7 @@
 
     async fn handle(&mut self, msg: EndOrder, _: &mut Context<Self, ()>) {
         self.queue.order_completed(self.ctx.clock.now(), msg.version, msg.outcome);
-        self.settle();
+        self.publish_changes();
     }
 }
 
@@ -311,7 +315,7 @@
 
     async fn handle(&mut self, _: StampContradicted, _: &mut Context<Self, ()>) {
         self.queue.contradicted(self.ctx.clock.now());
-        self.settle();
+        self.publish_changes();
     }
 }
 
@@ -319,8 +323,8 @@
     type Reply = ();
 
     async fn handle(&mut self, _: HomeTick, _: &mut Context<Self, ()>) {
-        self.follow_documents();
-        self.settle();
+        self.apply_documents();
+        self.publish_changes();
     }
 }
 
@@ -332,7 +336,7 @@
     }
 }
 
-/// What an engine's state says of its weights.
+/// Extracts the replica reading from an engine's state.
 pub fn reading(state: &EngineState) -> ReplicaReading {
     ReplicaReading {
         incarnation: state.incarnation,
@@ -350,24 +354,24 @@
     mut status: watch::Receiver<ReplicaStatus>,
 ) {
     while !ctx.stop.is_cancelled() {
-        let asked_at = ctx.clock.now();
+        let requested_at = ctx.clock.now();
         let state = reader.state().await;
-        if actor.tell(EngineRead { asked_at, state }).await.is_err() {
+        if actor.tell(EngineRead { requested_at, state }).await.is_err() {
             return;
         }
         let settled = matches!(*status.borrow_and_update(), ReplicaStatus::Serving(_));
-        let pause = if settled { READ_EVERY } else { DOUBT_READ_EVERY };
+        let pause = if settled { READ_INTERVAL } else { DOUBT_READ_INTERVAL };
         tokio::select! {
             () = ctx.stop.cancelled() => return,
             () = time::sleep(pause) => {}
-            // A change may be a doubt: read at once rather than after the rest.
+            // The replica may now be in doubt: poll it immediately.
             changed = status.changed(), if settled => if changed.is_err() { return },
         }
     }
 }
 
 async fn tick(ctx: BoxContext, actor: ActorRef<HomeActor>) {
-    let mut interval = time::interval(READ_EVERY);
+    let mut interval = time::interval(READ_INTERVAL);
     let mut documents = ctx.documents.clone();
     loop {
         tokio::select! {
--- a/crates/gannetwayd/src/http/commands.rs
+++ b/crates/gannetwayd/src/http/commands.rs
@@ -20,19 +20,19 @@
 use crate::context::{new_request, new_request_id};
 use crate::documents::OfferConfig;
 use crate::http::HttpState;
-use crate::http::answer::{
-    Failure, WholeBody, http_span, read_json, read_value, require_key, whole_json,
+use crate::http::response::{
+    Failure, FullBody, http_span, json_with_digest, read_json, read_value, require_key,
 };
 use crate::keeper::KeeperKey;
-use crate::route::StepAnswer;
+use crate::route::StepResponse;
 
 /// Time for a request about a step, beside a pull's own wait: one try and a second look. A
 /// trainer that finds no keeper is told so, and asks again, perhaps at another box.
-const STEP_TIME: Duration = Duration::from_millis(1_200);
+const STEP_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// Longest wait of a pull, in milliseconds.
-const MOST_WAIT_MS: u64 = 30_000;
+const MAX_PULL_WAIT_MS: u64 = 30_000;
 
-type Answer = Result<Response, Failure>;
+type HttpResult = Result<Response, Failure>;
 
 /// A step as named by the path.
 #[derive(Debug, Clone, Deserialize)]
@@ -67,8 +67,8 @@
     State(state): State<HttpState>,
     Path(path): Path<StepPath>,
     headers: HeaderMap,
-    WholeBody(body): WholeBody,
-) -> Answer {
+    FullBody(body): FullBody,
+) -> HttpResult {
     let open: OpenBody = read_json(&body)?;
     let spec = open.spec(path.step()?);
     spec.check().map_err(|error| ErrorBody::new(ErrorKind::BadRequest, error.to_string()))?;
@@ -83,8 +83,8 @@
         groups: groups.collect(),
         held: open.held.as_bytes().to_vec(),
     });
-    let answer = call_keeper(&state, &path, &headers, body, Duration::ZERO).await?;
-    whole_json(&step_state(answer.state)?)
+    let response = call_keeper(&state, &path, &headers, body, Duration::ZERO).await?;
+    json_with_digest(&step_state(response.state)?)
 }
 
 /// Pulls samples.
@@ -92,10 +92,10 @@
     State(state): State<HttpState>,
     Path(path): Path<StepPath>,
     headers: HeaderMap,
-    WholeBody(body): WholeBody,
-) -> Answer {
+    FullBody(body): FullBody,
+) -> HttpResult {
     let pull: PullBody = read_json(&body)?;
-    let wait_ms = pull.wait_ms.min(MOST_WAIT_MS);
+    let wait_ms = pull.wait_ms.min(MAX_PULL_WAIT_MS);
     let body = request::Body::PullStep(PullStep {
         step: Some(path.step_ref(pull.seen)?),
         held: pull.held.as_bytes().to_vec(),
@@ -103,9 +103,9 @@
         wait_ms,
     });
     let wait = Duration::from_millis(wait_ms);
-    let answer = call_keeper(&state, &path, &headers, body, wait).await?;
-    let samples: Result<Vec<Sample>, Failure> = answer.samples.into_iter().map(sample).collect();
-    whole_json(&PullResponse { samples: samples?, state: step_state(answer.state)? })
+    let response = call_keeper(&state, &path, &headers, body, wait).await?;
+    let samples: Result<Vec<Sample>, Failure> = response.samples.into_iter().map(sample).collect();
+    json_with_digest(&PullResponse { samples: samples?, state: step_state(response.state)? })
 }
 
 /// Names a newer version.
@@ -113,15 +113,15 @@
     State(state): State<HttpState>,
     Path(path): Path<StepPath>,
     headers: HeaderMap,
-    WholeBody(body): WholeBody,
-) -> Answer {
+    FullBody(body): FullBody,
+) -> HttpResult {
     let advance: AdvanceBody = read_json(&body)?;
     let body = request::Body::AdvanceStep(AdvanceStep {
         step: Some(path.step_ref(advance.seen)?),
         version: advance.version.get(),
     });
-    let answer = call_keeper(&state, &path, &headers, body, Duration::ZERO).await?;
-    whole_json(&step_state(answer.state)?)
+    let response = call_keeper(&state, &path, &headers, body, Duration::ZERO).await?;
+    json_with_digest(&step_state(response.state)?)
 }
 
 /// Closes a step.
@@ -129,21 +129,21 @@
     State(state): State<HttpState>,
     Path(path): Path<StepPath>,
     headers: HeaderMap,
-    WholeBody(body): WholeBody,
-) -> Answer {
+    FullBody(body): FullBody,
+) -> HttpResult {
     let held: CloseBody = read_json(&body)?;
     let step = path.step_ref(held.seen)?;
     let body = request::Body::CloseStep(CloseStep { step: Some(step) });
     call_keeper(&state, &path, &headers, body, Duration::ZERO).await?;
-    whole_json(&serde_json::json!({ "closed": path.step()? }))
+    json_with_digest(&serde_json::json!({ "closed": path.step()? }))
 }
 
 /// Tells a step's state; a query, but found by the same way.
-pub async fn step_status(state: &HttpState, path: &StepPath, headers: &HeaderMap) -> Answer {
+pub async fn step_status(state: &HttpState, path: &StepPath, headers: &HeaderMap) -> HttpResult {
     let step = path.step_ref(FencingToken::default())?;
     let body = request::Body::StepStatus(peer::StepStatus { step: Some(step) });
-    let answer = call_keeper(state, path, headers, body, Duration::ZERO).await?;
-    whole_json(&step_state(answer.state)?)
+    let response = call_keeper(state, path, headers, body, Duration::ZERO).await?;
+    json_with_digest(&step_state(response.state)?)
 }
 
 /// What an operator may state along with a pool.
@@ -162,8 +162,8 @@
     Path(pool): Path<String>,
     Query(query): Query<ApplyQuery>,
     headers: HeaderMap,
-    WholeBody(body): WholeBody,
-) -> Answer {
+    FullBody(body): FullBody,
+) -> HttpResult {
     require_key(&state.ctx, &headers)?;
     let spec: PoolSpec = read_json(&body)?;
     spec.check().map_err(|error| ErrorBody::new(ErrorKind::BadRequest, error.to_string()))?;
@@ -177,7 +177,7 @@
     log::info!(target: "config", pool:% = pool, generation:% = generation, write:% = write_id; "change accepted");
     // The actor is gone only when the box stops; the platform has the change by now.
     let _stopped = state.documents.tell(OfferConfig(applied.config)).await;
-    whole_json(&AppliedBody { generation })
+    json_with_digest(&AppliedBody { generation })
 }
 
 async fn call_keeper(
@@ -186,12 +186,12 @@
     headers: &HeaderMap,
     body: request::Body,
     wait: Duration,
-) -> Result<StepAnswer, Failure> {
+) -> Result<StepResponse, Failure> {
     let key = path.key()?;
     let span = http_span(&state.ctx, "http.step", headers);
     // The directory sets the time left for each try.
-    let request = new_request(body, span.traceparent(), wait + STEP_TIME);
-    let deadline = state.ctx.clock.now() + wait + STEP_TIME;
+    let request = new_request(body, span.traceparent(), wait + STEP_TIMEOUT);
+    let deadline = state.ctx.clock.now() + wait + STEP_TIMEOUT;
     Ok(state.directory.call(&state.ctx, &key, request, wait, deadline).await?)
 }
 
--- a/crates/gannetwayd/src/http/mod.rs
+++ b/crates/gannetwayd/src/http/mod.rs
@@ -1,9 +1,9 @@
 //! The box's HTTP side, for callers, trainers and operators. Commands and queries stand apart.
 
-mod answer;
 mod commands;
 mod plain;
 mod queries;
+mod response;
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/crates/gannetwayd/src/http/plain.rs
+++ b/crates/gannetwayd/src/http/plain.rs
@@ -20,27 +20,27 @@
 
 use crate::context::{BoxContext, new_request_id, wire_millis};
 use crate::http::HttpState;
-use crate::http::answer::{Failure, WholeBody, http_span, read_value};
+use crate::http::response::{Failure, FullBody, http_span, read_value};
 use crate::metrics::{CallLabel, CallLabels};
 use crate::refuse::wire_not_run;
 use crate::route::call_home;
 
 /// Time a caller allows unless it says otherwise.
-const DEFAULT_TIME: Duration = Duration::from_secs(10);
+const DEFAULT_REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 /// Longest time a caller may allow.
-const MOST_TIME: Duration = Duration::from_mins(10);
+const MAX_REQUEST_TIMEOUT: Duration = Duration::from_mins(10);
 /// Retries earned by each first attempt, in thousandths.
 const RETRY_THOUSANDTHS: u64 = 100;
 /// Retries held for quiet times.
-const RETRY_FLOAT: u64 = 10;
+const RETRY_RESERVE: u64 = 10;
 /// Backoff between attempts.
 const BACKOFF: Backoff = Backoff::new(Duration::from_millis(10), Duration::from_millis(500));
 /// What a caller is told to wait when every target of a service is full or resting.
-const BUSY_RETRY: Duration = Duration::from_millis(500);
+const BUSY_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Requests that one box sends to one target at a time; the target's home has the last word.
-const PLAIN_LIMIT: u32 = 256;
+const MAX_CALLS_PER_TARGET: u32 = 256;
 /// Slack beyond the request's own time before a home counts as silent.
-const SILENCE_SLACK: Duration = Duration::from_millis(250);
+const IDLE_TIMEOUT_SLACK: Duration = Duration::from_millis(250);
 
 /// Chooses targets of plain services, by what came of earlier requests.
 #[derive(Debug)]
@@ -52,8 +52,8 @@
 impl Default for PlainRouter {
     fn default() -> Self {
         Self {
-            chooser: Mutex::new(TargetChooser::with_first_limit(PLAIN_LIMIT)),
-            budget: Mutex::new(RetryBudget::new(RETRY_THOUSANDTHS, RETRY_FLOAT)),
+            chooser: Mutex::new(TargetChooser::with_first_limit(MAX_CALLS_PER_TARGET)),
+            budget: Mutex::new(RetryBudget::new(RETRY_THOUSANDTHS, RETRY_RESERVE)),
         }
     }
 }
@@ -79,7 +79,7 @@
     method: Method,
     uri: Uri,
     headers: HeaderMap,
-    WholeBody(body): WholeBody,
+    FullBody(body): FullBody,
 ) -> Response {
     let started = state.ctx.clock.now();
     let answered = serve_call(&state, &service, &path, &method, &uri, (&headers, body)).await;
@@ -118,8 +118,8 @@
         None => method.is_safe(),
     };
     let time = match text(DEADLINE_HEADER) {
-        Some(ms) => Duration::from_millis(read_value(ms)?).min(MOST_TIME),
-        None => DEFAULT_TIME,
+        Some(ms) => Duration::from_millis(read_value(ms)?).min(MAX_REQUEST_TIMEOUT),
+        None => DEFAULT_REQUEST_TIMEOUT,
     };
     let query = uri.query().map(|query| format!("?{query}")).unwrap_or_default();
     let run = PlainRun {
@@ -137,7 +137,7 @@
             forwarded: false,
         },
     };
-    let part = run.to_its_end(&service).await?;
+    let part = run.run_with_retries(&service).await?;
     answer(&part, &request_id)
 }
 
@@ -156,13 +156,13 @@
 
 impl PlainRun<'_> {
     /// Tries targets until one answers, the work may have run, or nothing more is allowed.
-    async fn to_its_end(&self, service: &ServiceName) -> Result<PlainPart, Failure> {
+    async fn run_with_retries(&self, service: &ServiceName) -> Result<PlainPart, Failure> {
         lock(&self.state.plain.budget).record_attempt();
         let mut retry = 0;
         loop {
             let target = self.choose(service)?;
-            let tried = self.try_one(&target).await;
-            let error = match tried {
+            let result = self.call_target(&target).await;
+            let error = match result {
                 Ok(part) => return Ok(part),
                 Err(error) => error,
             };
@@ -186,7 +186,7 @@
         let documents = self.ctx().documents.borrow().clone();
         let targets = documents.targets.of_service(service);
         if targets.is_empty() {
-            let error = wire_not_run(NotRun::Unknown, BUSY_RETRY);
+            let error = wire_not_run(NotRun::Unknown, BUSY_RETRY_DELAY);
             return Err(CallError::Refused(Box::new(error)).into());
         }
         let now = self.ctx().clock.now();
@@ -196,14 +196,14 @@
             .or_else(|| chooser.choose_backed_off(targets))
             .cloned();
         let Some(id) = chosen else {
-            let error = wire_not_run(NotRun::Overloaded, BUSY_RETRY);
+            let error = wire_not_run(NotRun::Overloaded, BUSY_RETRY_DELAY);
             return Err(CallError::Refused(Box::new(error)).into());
         };
         chooser.placed(&id);
         Ok(id)
     }
 
-    async fn try_one(&self, target: &TargetId) -> Result<PlainPart, CallError> {
+    async fn call_target(&self, target: &TargetId) -> Result<PlainPart, CallError> {
         let placed = PlacedCall { router: &self.state.plain, target };
         let left = self.deadline.since(self.ctx().clock.now());
         let request = Request {
@@ -217,7 +217,7 @@
         };
         let called = call_home(self.ctx(), target, request).await;
         let answer = match called {
-            Ok(stream) => stream.single(left + SILENCE_SLACK).await,
+            Ok(stream) => stream.single(left + IDLE_TIMEOUT_SLACK).await,
             Err(error) => Err(error),
         };
         match answer.map(|item| item.body) {
--- a/crates/gannetwayd/src/http/queries.rs
+++ b/crates/gannetwayd/src/http/queries.rs
@@ -15,8 +15,8 @@
 use crate::context::BoxContext;
 use crate::home::QueryHome;
 use crate::http::HttpState;
-use crate::http::answer::{Failure, read_value, require_key, whole_json};
 use crate::http::commands::{StepPath, step_status};
+use crate::http::response::{Failure, json_with_digest, read_value, require_key};
 use crate::keeper::QueryKeeper;
 
 /// The process answers.
@@ -60,7 +60,7 @@
     require_key(&state.ctx, &headers)?;
     let config = Arc::clone(&state.ctx.documents.borrow().config);
     let pools = config.pools.values().cloned().collect();
-    whole_json(&PoolsBody { generation: config.generation, pools })
+    json_with_digest(&PoolsBody { generation: config.generation, pools })
 }
 
 /// One pool in force here.
@@ -76,7 +76,7 @@
         let message = format!("no pool {name} in generation {}: apply it first", config.generation);
         return Err(ErrorBody::new(ErrorKind::NotOpen, message).into());
     };
-    whole_json(&PoolsBody { generation: config.generation, pools: vec![entry.clone()] })
+    json_with_digest(&PoolsBody { generation: config.generation, pools: vec![entry.clone()] })
 }
 
 /// The box as it sees itself.
@@ -87,7 +87,7 @@
     require_key(&state.ctx, &headers)?;
     let ctx = &state.ctx;
     let generation = ctx.documents.borrow().config.generation;
-    whole_json(&BoxStatus {
+    json_with_digest(&BoxStatus {
         id: ctx.me.id.clone(),
         domain: ctx.me.domain.clone(),
         incarnation: ctx.me.incarnation,
@@ -115,7 +115,7 @@
 /// What the box cannot do for now. It stays ready, for it serves the rest.
 fn cannot(ctx: &BoxContext) -> Vec<String> {
     let mut cannot = Vec::new();
-    if !ctx.platform_answers.load(Ordering::Relaxed) {
+    if !ctx.platform_available.load(Ordering::Relaxed) {
         let lost = "platform does not answer: no change of configuration is accepted, no swap is \
                     ordered once leases run out; steps are kept and requests served";
         cannot.push(lost.to_owned());
--- a/crates/gannetwayd/src/http/answer.rs
+++ b/crates/gannetwayd/src/http/response.rs
@@ -51,7 +51,7 @@
 }
 
 /// An answer with the digest of its body, so that a cut one is not taken for whole.
-pub fn whole_json<T: Serialize>(value: &T) -> Result<Response, Failure> {
+pub fn json_with_digest<T: Serialize>(value: &T) -> Result<Response, Failure> {
     let body = serde_json::to_vec(value)
         .map_err(|error| Failure(ErrorBody::new(ErrorKind::Unknown, error.to_string())))?;
     let digest = ContentDigest::of(&body).to_string();
@@ -61,9 +61,9 @@
 
 /// A request's whole body, or a typed refusal when it is too large or breaks off.
 #[derive(Debug)]
-pub struct WholeBody(pub Bytes);
+pub struct FullBody(pub Bytes);
 
-impl<S: Send + Sync> FromRequest<S> for WholeBody {
+impl<S: Send + Sync> FromRequest<S> for FullBody {
     type Rejection = Failure;
 
     async fn from_request(req: Request, state: &S) -> Result<Self, Failure> {
--- a/crates/gannetwayd/src/keeper/actor.rs
+++ b/crates/gannetwayd/src/keeper/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that runs a [`StepKeeper`] and does its I/O.
+//! The actor that runs a [`StepKeeper`] and performs its I/O.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,10 +19,10 @@
 use crate::context::BoxContext;
 use crate::keeper::attempt::run_attempt;
 use crate::keeper::{KeeperHandle, KeeperKey};
-use crate::lease::{LeaseAnswer, call_store};
+use crate::lease::{LeaseResponse, run_lease_action};
 use crate::metrics::{AttemptLabel, AttemptLabels};
 
-/// Owns one trainer's steps.
+/// Owns the step ledgers of one trainer.
 #[derive(Debug, Actor)]
 pub struct KeeperActor {
     ctx: BoxContext,
@@ -37,40 +37,40 @@
 /// Opens a step.
 #[derive(Debug)]
 pub struct OpenStep {
-    /// The step.
+    /// Specification of the step.
     pub spec: StepSpec,
-    /// Slots the trainer holds.
+    /// Slots whose samples the trainer already holds.
     pub held: SlotSet,
     /// Highest token the trainer has seen.
     pub seen: FencingToken,
 }
 
-/// Pulls samples.
+/// Pulls finished samples of a step.
 #[derive(Debug)]
 pub struct PullStep {
     /// The step.
     pub step: StepNumber,
-    /// The pull.
+    /// Slots held, token and batch size sent by the trainer.
     pub pull: Pull,
 }
 
-/// The answer to a pull.
+/// The response to a pull.
 #[derive(Debug)]
-pub struct Pulled {
-    /// The samples.
+pub struct PullReply {
+    /// Samples for the trainer.
     pub out: PulledBatch,
     /// The step's state.
     pub state: KeptState,
-    /// Whether the pull should be answered now rather than wait for news.
-    pub answer_now: bool,
+    /// Whether to respond now instead of waiting for further samples.
+    pub respond_now: bool,
 }
 
-/// Names a newer version.
+/// Sets a newer weight version for a step.
 #[derive(Debug)]
 pub struct AdvanceStep {
     /// The step.
     pub step: StepNumber,
-    /// The version now named.
+    /// The new version.
     pub version: ModelVersion,
     /// Highest token the trainer has seen.
     pub seen: FencingToken,
@@ -85,47 +85,47 @@
     pub seen: FencingToken,
 }
 
-/// Asks for a step's state.
+/// Queries the state of a step.
 #[derive(Debug)]
 pub struct StepStateQuery(pub StepNumber);
 
-/// Takes a predecessor's steps.
+/// Adopts the steps of the previous keeper.
 #[derive(Debug)]
 pub struct AdoptSteps {
-    /// The steps.
+    /// Snapshots of the steps.
     pub snapshots: Vec<StepSnapshot>,
-    /// The predecessor's token.
+    /// Fencing token of the previous keeper.
     pub token: FencingToken,
 }
 
-/// Gives the steps up for a successor.
+/// Hands the steps over to a successor and releases the lease.
 #[derive(Debug)]
 pub struct HandOverSteps {
-    /// Gives up even with attempts under way.
+    /// Hands over even while attempts are in flight.
     pub force: bool,
 }
 
-/// The answer to [`HandOverSteps`].
+/// The response to [`HandOverSteps`].
 #[derive(Debug, Reply)]
-pub enum GivenUp {
-    /// Attempts are under way: ask again, or force it.
+pub enum HandOverReply {
+    /// Attempts are in flight: retry later or set `force`.
     Busy,
-    /// There was nothing to give.
+    /// The keeper does not hold the lease, so it has nothing to hand over.
     Nothing,
-    /// For the successor.
+    /// Message for the successor.
     Steps(AdoptSteps),
 }
 
-/// Asks what the keeper is doing.
+/// Queries the keeper's status.
 #[derive(Debug)]
 pub struct QueryKeeper;
 
-/// The answer to [`QueryKeeper`].
+/// The response to [`QueryKeeper`].
 #[derive(Debug, Reply)]
 pub struct KeeperView {
-    /// The token it acts under.
+    /// Fencing token of the held lease, or `None` when the lease is not held.
     pub acting: Option<FencingToken>,
-    /// Open steps.
+    /// Numbers of the open steps.
     pub steps: Vec<StepNumber>,
 }
 
@@ -137,13 +137,13 @@
 }
 
 #[derive(Debug)]
-struct LeaseAnswered(LeaseAnswer);
+struct LeaseActionDone(LeaseResponse);
 
 #[derive(Debug)]
 struct KeeperTick;
 
 impl KeeperActor {
-    /// Starts a keeper on the control thread.
+    /// Spawns a keeper on the control thread.
     pub fn start(ctx: &BoxContext, key: KeeperKey) -> KeeperHandle {
         let _on_control = ctx.control.enter();
         let now = ctx.clock.now();
@@ -158,7 +158,7 @@
         let keeper = StepKeeper::new(now, settings, ChaCha8Rng::from_os_rng());
         let (changes, changes_out) = watch::channel(0);
         let (wake, wake_out) = watch::channel(now);
-        log::info!(target: "keeper", trainer:% = key; "claiming");
+        log::info!(target: "keeper", trainer:% = key; "claiming keeper lease");
         let mut actor = Self {
             ctx: Arc::clone(ctx),
             key,
@@ -168,33 +168,33 @@
             wake,
             acting: None,
         };
-        actor.follow_pool();
+        actor.refresh_pool();
         let actor = Self::spawn(actor);
         tokio::spawn(tick(Arc::clone(ctx), actor.clone(), wake_out));
         KeeperHandle { actor, changes: changes_out }
     }
 
-    fn follow_pool(&mut self) {
+    fn refresh_pool(&mut self) {
         let config = Arc::clone(&self.ctx.documents.borrow().config);
         self.keeper.pool_changed(config.generation, config.pool(&self.key.pool).cloned());
     }
 
-    /// Carries out what the keeper wants done now, and tells those who wait.
+    /// Executes the keeper's due actions, then notifies waiting pulls and attempts.
     fn drive(&mut self, me: &ActorRef<Self>) {
         let now = self.ctx.clock.now();
         for action in self.keeper.poll(now) {
             match action {
-                KeeperAction::Lease(action) => self.do_lease(action, me),
+                KeeperAction::Lease(action) => self.spawn_lease_action(action, me),
                 KeeperAction::Start(placement) => self.start_attempt(placement, me),
             }
         }
-        self.tell_windows();
-        self.note_acting();
+        self.publish_windows();
+        self.record_acting_change();
         self.changes.send_modify(|count| *count += 1);
         self.wake.send_replace(self.keeper.next_at(now));
     }
 
-    fn note_acting(&mut self) {
+    fn record_acting_change(&mut self) {
         let acting = self.keeper.acting_token();
         if acting == self.acting {
             return;
@@ -203,7 +203,7 @@
         self.ctx.metrics.lease_changes.inc();
         match acting {
             Some(token) => {
-                log::info!(target: "keeper", trainer:% = self.key, token:% = token; "keeping");
+                log::info!(target: "keeper", trainer:% = self.key, token:% = token; "keeper active");
             }
             None => {
                 log::info!(target: "keeper", trainer:% = self.key; "stepped down");
@@ -211,13 +211,13 @@
         }
     }
 
-    /// Lets running attempts see that they have become too old.
-    fn tell_windows(&mut self) {
-        self.windows.retain(|step, told| match self.keeper.window(*step) {
+    /// Publishes version windows so that running attempts can detect that they are too old.
+    fn publish_windows(&mut self) {
+        self.windows.retain(|step, sender| match self.keeper.window(*step) {
             Some(window) => {
-                told.send_if_modified(|known| {
-                    let changed = *known != window;
-                    *known = window;
+                sender.send_if_modified(|current| {
+                    let changed = *current != window;
+                    *current = window;
                     changed
                 });
                 true
@@ -226,12 +226,12 @@
         });
     }
 
-    fn do_lease(&self, action: LeaseAction, me: &ActorRef<Self>) {
+    fn spawn_lease_action(&self, action: LeaseAction, me: &ActorRef<Self>) {
         let (ctx, key, me) = (Arc::clone(&self.ctx), self.key.lease(), me.clone());
         self.ctx.control.spawn(async move {
-            let answer = call_store(&ctx.store, &key, action).await;
-            // The actor is gone only when the box stops.
-            let _stopped = me.tell(LeaseAnswered(answer)).await;
+            let answer = run_lease_action(&ctx.store, &key, action).await;
+            // Sending fails only when the box stops.
+            let _stopped = me.tell(LeaseActionDone(answer)).await;
         });
     }
 
@@ -245,7 +245,7 @@
         let (ctx, key, me) = (Arc::clone(&self.ctx), self.key.clone(), me.clone());
         self.ctx.traffic.spawn(async move {
             let (end, hint) = run_attempt(&ctx, &key, &placement, window_out).await;
-            // The actor is gone only when the box stops.
+            // Sending fails only when the box stops.
             let _stopped = me.tell(AttemptDone { placement, end, hint }).await;
         });
     }
@@ -263,21 +263,21 @@
 }
 
 impl Message<PullStep> for KeeperActor {
-    type Reply = Result<Pulled, KeeperRefusal>;
+    type Reply = Result<PullReply, KeeperRefusal>;
 
     async fn handle(&mut self, msg: PullStep, ctx: &mut Context<Self, Self::Reply>) -> Self::Reply {
         let now = self.ctx.clock.now();
         let before = self.keeper.waiting_bytes();
         let pulled = self.keeper.pull(now, msg.step, &msg.pull);
-        // Room for more samples, or something learnt from a refusal; an idle pull changes nothing.
+        // Drives the keeper only if the pull failed or freed buffer space.
         if pulled.is_err() || self.keeper.waiting_bytes() < before {
             self.drive(&ctx.actor_ref());
         }
         let (out, state) = pulled?;
         let complete = state.progress.held == state.progress.slots;
-        let answer_now = complete || !out.samples.is_empty();
+        let respond_now = complete || !out.samples.is_empty();
         self.ctx.metrics.handed_out.inc_by(out.samples.len() as u64);
-        Ok(Pulled { out, state, answer_now })
+        Ok(PullReply { out, state, respond_now })
     }
 }
 
@@ -332,20 +332,24 @@
 }
 
 impl Message<HandOverSteps> for KeeperActor {
-    type Reply = GivenUp;
+    type Reply = HandOverReply;
 
-    async fn handle(&mut self, msg: HandOverSteps, ctx: &mut Context<Self, GivenUp>) -> GivenUp {
+    async fn handle(
+        &mut self,
+        msg: HandOverSteps,
+        ctx: &mut Context<Self, HandOverReply>,
+    ) -> HandOverReply {
         self.keeper.prepare_hand_over();
-        let Some(token) = self.keeper.acting_token() else { return GivenUp::Nothing };
+        let Some(token) = self.keeper.acting_token() else { return HandOverReply::Nothing };
         if self.keeper.in_flight() > 0 && !msg.force {
-            return GivenUp::Busy;
+            return HandOverReply::Busy;
         }
         let (snapshots, release) = self.keeper.hand_over(self.ctx.clock.now());
         if let Some(action) = release {
-            self.do_lease(action, &ctx.actor_ref());
+            self.spawn_lease_action(action, &ctx.actor_ref());
         }
         self.drive(&ctx.actor_ref());
-        GivenUp::Steps(AdoptSteps { snapshots, token })
+        HandOverReply::Steps(AdoptSteps { snapshots, token })
     }
 }
 
@@ -379,14 +383,14 @@
     }
 }
 
-impl Message<LeaseAnswered> for KeeperActor {
+impl Message<LeaseActionDone> for KeeperActor {
     type Reply = ();
 
-    async fn handle(&mut self, msg: LeaseAnswered, ctx: &mut Context<Self, ()>) {
+    async fn handle(&mut self, msg: LeaseActionDone, ctx: &mut Context<Self, ()>) {
         let now = self.ctx.clock.now();
         match msg.0 {
-            LeaseAnswer::Read(outcome) => self.keeper.lease_read(now, outcome),
-            LeaseAnswer::Written(outcome) => self.keeper.lease_written(now, outcome),
+            LeaseResponse::Read(outcome) => self.keeper.lease_read(now, outcome),
+            LeaseResponse::Written(outcome) => self.keeper.lease_written(now, outcome),
         }
         self.drive(&ctx.actor_ref());
     }
@@ -396,12 +400,12 @@
     type Reply = ();
 
     async fn handle(&mut self, _: KeeperTick, ctx: &mut Context<Self, ()>) {
-        self.follow_pool();
+        self.refresh_pool();
         self.drive(&ctx.actor_ref());
     }
 }
 
-/// Wakes the keeper when it asked for it and when the documents change.
+/// Wakes the keeper at its requested time and whenever the documents change.
 async fn tick(ctx: BoxContext, actor: ActorRef<KeeperActor>, mut wake: watch::Receiver<Moment>) {
     let mut documents = ctx.documents.clone();
     loop {
@@ -418,7 +422,7 @@
         if actor.tell(KeeperTick).await.is_err() {
             return;
         }
-        // The actor sets the next wake in its answer to the tick; wait for that.
+        // Waits until the actor has handled the tick and set the next wake time.
         if wake.changed().await.is_err() {
             return;
         }
--- a/crates/gannetwayd/src/keeper/attempt.rs
+++ b/crates/gannetwayd/src/keeper/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a sample: sent to the target's home, gathered, checked, judged.
+//! Runs one attempt at a sample: generation at the target's home, validation and scoring.
 
 use std::time::Duration;
 
@@ -14,24 +14,24 @@
 
 use crate::context::{BoxContext, new_request};
 use crate::keeper::KeeperKey;
-use crate::refuse::not_run_of;
+use crate::refuse::parse_not_run;
 use crate::route::call_home;
 use crate::trace::HopSpan;
 
-/// How long an attempt may wait at its target's home before it is placed elsewhere.
-const QUEUE_WAIT: Duration = Duration::from_secs(5);
-/// Longest silence before the home has admitted the attempt.
-const FIRST_SILENCE: Duration = Duration::from_secs(7);
-/// Longest silence within the stream; longer than the home's own patience with the engine.
-const STREAM_SILENCE: Duration = Duration::from_secs(6);
-/// Time for one scorer to answer.
-const SCORE_TIME: Duration = Duration::from_secs(5);
-/// Rounds over all scorers before a sample is given up.
-const SCORE_ROUNDS: u32 = 20;
-/// Pause between rounds over the scorers.
-const SCORE_PAUSE: Duration = Duration::from_millis(250);
-
-/// Runs an attempt to its end.
+/// Maximum queueing time at the target's home before the attempt is placed elsewhere.
+const QUEUE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Timeout for the first response item from the home.
+const ADMISSION_TIMEOUT: Duration = Duration::from_secs(7);
+/// Idle timeout within the stream; longer than the home's own timeout for the engine.
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(6);
+/// Timeout of one request to a scorer.
+const SCORE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum number of rounds over all scorers before the sample is discarded.
+const MAX_SCORE_ROUNDS: u32 = 20;
+/// Delay between rounds over the scorers.
+const SCORE_RETRY_DELAY: Duration = Duration::from_millis(250);
+
+/// Runs an attempt and returns its outcome with the latest load of the target, if known.
 pub async fn run_attempt(
     ctx: &BoxContext,
     key: &KeeperKey,
@@ -39,11 +39,11 @@
     window: watch::Receiver<VersionWindow>,
 ) -> (AttemptOutcome, Option<TargetHint>) {
     let span = ctx.tracer.hop("attempt", SpanKind::Client, "");
-    span.note("slot", i64::from(placement.assignment.slot.get()));
-    span.note("target", placement.target.to_string());
+    span.set_attribute("slot", i64::from(placement.assignment.slot.get()));
+    span.set_attribute("target", placement.target.to_string());
     let mut run = AttemptRun { ctx, key, placement, window, hint: None, span };
     let end = match run.generate().await {
-        Ok((spans, text)) => run.judge(spans, text).await,
+        Ok((spans, text)) => run.score_sample(spans, text).await,
         Err(end) => end,
     };
     (end, run.hint)
@@ -73,24 +73,29 @@
             named: assignment.window.named.get(),
             forwarded: false,
         });
-        let request = self.request(body, QUEUE_WAIT);
+        let request = self.request(body, QUEUE_TIMEOUT);
         let called = call_home(self.ctx, &self.placement.target, request).await;
-        let mut stream = called.map_err(|error| self.failed(&error))?;
-        self.gather(&mut stream).await
+        let mut stream = called.map_err(|error| self.call_failed(&error))?;
+        self.collect_chunks(&mut stream).await
     }
 
-    async fn gather(&mut self, stream: &mut ResponseStream) -> Result<Generated, AttemptOutcome> {
-        let mut trail = ChunkAssembler::default();
-        let mut silence = FIRST_SILENCE;
-        while let Some(item) = stream.next(silence).await.map_err(|error| self.failed(&error))? {
-            silence = STREAM_SILENCE;
+    async fn collect_chunks(
+        &mut self,
+        stream: &mut ResponseStream,
+    ) -> Result<Generated, AttemptOutcome> {
+        let mut assembler = ChunkAssembler::default();
+        let mut idle_timeout = ADMISSION_TIMEOUT;
+        while let Some(item) =
+            stream.next(idle_timeout).await.map_err(|error| self.call_failed(&error))?
+        {
+            idle_timeout = STREAM_IDLE_TIMEOUT;
             match item.body {
                 Some(response_item::Body::Load(load)) => self.hint = Some(hint_of(&load)),
                 Some(response_item::Body::Chunk(chunk)) => {
-                    let taken = trail.chunk(stamp_of(&chunk), &chunk.text);
+                    let taken = assembler.chunk(stamp_of(&chunk), &chunk.text);
                     taken.map_err(|error| self.unusable(&error))?;
                     let window = *self.window.borrow();
-                    if trail.oldest().is_some_and(|oldest| window.is_too_old(oldest)) {
+                    if assembler.oldest().is_some_and(|oldest| window.is_too_old(oldest)) {
                         return Err(AttemptOutcome::TooOld);
                     }
                 }
@@ -99,11 +104,11 @@
         }
         let Some(end) = stream.end() else { return Err(AttemptOutcome::Unusable) };
         let finished =
-            trail.finish(TokenCount::new(end.tokens), ContentDigest::new(end.text_digest));
+            assembler.finish(TokenCount::new(end.tokens), ContentDigest::new(end.text_digest));
         finished.map_err(|error| self.unusable(&error))
     }
 
-    async fn judge(&self, spans: Vec<ledger::VersionSpan>, text: String) -> AttemptOutcome {
+    async fn score_sample(&self, spans: Vec<ledger::VersionSpan>, text: String) -> AttemptOutcome {
         let scorers = {
             let documents = self.ctx.documents.borrow();
             documents.config.pool(&self.key.pool).map(|pool| pool.scorers.clone())
@@ -111,7 +116,7 @@
         let scorers = scorers.unwrap_or_default();
         let score = if scorers.is_empty() { None } else { self.score(&scorers, &text).await };
         if score.is_none() && !scorers.is_empty() {
-            log::warn!(target: "keeper", trainer:% = self.key; "no scorer answered, sample made again");
+            log::warn!(target: "keeper", trainer:% = self.key; "no scorer responded; regenerating the sample");
             return AttemptOutcome::Unusable;
         }
         self.ctx.metrics.tokens.inc_by(spans.iter().map(|span| u64::from(span.tokens.get())).sum());
@@ -124,18 +129,18 @@
         })
     }
 
-    /// Asks the scorers in turn; judging twice is harmless.
+    /// Tries the scorers in turn. Scoring is idempotent, so a request may be repeated.
     async fn score(&self, scorers: &[TargetId], text: &str) -> Option<f64> {
-        for _ in 0..SCORE_ROUNDS {
+        for _ in 0..MAX_SCORE_ROUNDS {
             for scorer in scorers {
                 match self.score_once(scorer, text).await {
                     Ok(score) => return Some(score),
                     Err(error) => {
-                        log::debug!(target: "keeper", scorer:% = scorer, error:% = error; "no score");
+                        log::debug!(target: "keeper", scorer:% = scorer, error:% = error; "scoring failed");
                     }
                 }
             }
-            time::sleep(SCORE_PAUSE).await;
+            time::sleep(SCORE_RETRY_DELAY).await;
         }
         None
     }
@@ -147,10 +152,10 @@
             text: text.to_owned(),
             forwarded: false,
         });
-        let stream = call_home(self.ctx, scorer, self.request(body, SCORE_TIME)).await?;
-        match stream.single(SCORE_TIME).await?.body {
-            Some(response_item::Body::Scored(answer)) => Ok(answer.score),
-            _ => Err(CallError::Broken { why: "an answer that is no score" }),
+        let stream = call_home(self.ctx, scorer, self.request(body, SCORE_TIMEOUT)).await?;
+        match stream.single(SCORE_TIMEOUT).await?.body {
+            Some(response_item::Body::Scored(result)) => Ok(result.score),
+            _ => Err(CallError::Broken { why: "response is not a score" }),
         }
     }
 
@@ -158,7 +163,7 @@
         new_request(body, self.span.traceparent(), time_left)
     }
 
-    /// The same for the same try, another for each further try.
+    /// Returns a seed that is fixed for an attempt and differs between attempts.
     fn seed(&self) -> u64 {
         let assignment = &self.placement.assignment;
         let name = format!(
@@ -173,7 +178,7 @@
         AttemptOutcome::Unusable
     }
 
-    fn failed(&mut self, error: &CallError) -> AttemptOutcome {
+    fn call_failed(&mut self, error: &CallError) -> AttemptOutcome {
         log::debug!(target: "keeper", trainer:% = self.key, at:% = self.placement.target, error:% = error; "attempt failed");
         match error {
             CallError::NotSent { .. } => {
@@ -182,7 +187,7 @@
             CallError::Broken { .. } | CallError::LinkLost => AttemptOutcome::Unusable,
             CallError::Refused(refused) => {
                 self.hint = refused.load.as_ref().map(hint_of).or(self.hint);
-                match not_run_of(refused) {
+                match parse_not_run(refused) {
                     Some((reason, retry_after)) => AttemptOutcome::NotRun { reason, retry_after },
                     None => AttemptOutcome::Unusable,
                 }
--- a/crates/gannetwayd/src/keeper/mod.rs
+++ b/crates/gannetwayd/src/keeper/mod.rs
@@ -1,11 +1,11 @@
-//! Keepers of steps on this box: one actor for each trainer.
+//! Step keepers on this box: one actor per trainer.
 
 mod actor;
 mod attempt;
 mod registry;
 
 pub use actor::{
-    AdoptSteps, AdvanceStep, CloseStep, GivenUp, HandOverSteps, KeeperActor, KeeperView, OpenStep,
-    PullStep, Pulled, QueryKeeper, StepStateQuery,
+    AdoptSteps, AdvanceStep, CloseStep, HandOverReply, HandOverSteps, KeeperActor, KeeperView,
+    OpenStep, PullReply, PullStep, QueryKeeper, StepStateQuery,
 };
 pub use registry::{KeeperHandle, KeeperKey, KeeperRegistry};
--- a/crates/gannetwayd/src/keeper/registry.rs
+++ b/crates/gannetwayd/src/keeper/registry.rs
@@ -1,4 +1,4 @@
-//! Which trainers' steps this box keeps or claims.
+//! Registry of the keepers that run on this box.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -12,7 +12,7 @@
 use crate::context::BoxContext;
 use crate::keeper::KeeperActor;
 
-/// One trainer of one pool.
+/// Identifies a trainer within a pool.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeeperKey {
     /// The pool.
@@ -22,7 +22,7 @@
 }
 
 impl KeeperKey {
-    /// The lease that decides who keeps this trainer's steps. Ids hold no colon.
+    /// Key of the lease held by the keeper of this trainer's steps. Ids contain no colon.
     pub fn lease(&self) -> ObjectKey {
         ObjectKey::new(ObjectKind::Lease, format!("keeper:{}:{}", self.pool, self.trainer))
     }
@@ -34,12 +34,12 @@
     }
 }
 
-/// A keeper and the news of its steps.
+/// Handle of a keeper actor.
 #[derive(Debug, Clone)]
 pub struct KeeperHandle {
     /// The actor.
     pub actor: ActorRef<KeeperActor>,
-    /// Grows whenever something changed that a waiting pull may want to see.
+    /// Change counter; increases when waiting pulls should check the keeper again.
     pub changes: watch::Receiver<u64>,
 }
 
@@ -50,12 +50,12 @@
 }
 
 impl KeeperRegistry {
-    /// The keeper of a trainer, if one runs here.
+    /// Returns the keeper of a trainer if it runs on this box.
     pub fn get(&self, key: &KeeperKey) -> Option<KeeperHandle> {
         self.lock().get(key).filter(|handle| handle.actor.is_alive()).cloned()
     }
 
-    /// The keeper of a trainer, started if need be; it claims the lease by itself.
+    /// Returns the keeper of a trainer, starting it if needed. A new keeper claims its lease.
     pub fn get_or_start(&self, ctx: &BoxContext, key: &KeeperKey) -> KeeperHandle {
         let mut keepers = self.lock();
         if let Some(handle) = keepers.get(key)
@@ -68,7 +68,7 @@
         handle
     }
 
-    /// All keepers on this box.
+    /// Returns all keepers on this box.
     pub fn all(&self) -> Vec<(KeeperKey, KeeperHandle)> {
         self.lock().iter().map(|(key, handle)| (key.clone(), handle.clone())).collect()
     }
--- a/crates/gannetwayd/src/lease.rs
+++ b/crates/gannetwayd/src/lease.rs
@@ -1,34 +1,35 @@
-//! Carries out what a lease's claim wants of the platform.
+//! Executes lease actions against the platform's object store.
 
 use coord::lease::{LeaseAction, LeaseRecord, ReadOutcome, VersionedLease, WriteOutcome};
 use ids::ObjectVersion;
 use objects::{ObjectKey, ObjectStore, StoreError, StoredObject};
 
-/// What came of a lease action.
+/// Result of a lease action.
 #[derive(Debug)]
-pub enum LeaseAnswer {
-    /// Of a read.
+pub enum LeaseResponse {
+    /// Result of a read.
     Read(ReadOutcome),
-    /// Of a write.
+    /// Result of a conditional write.
     Written(WriteOutcome),
 }
 
-/// Reads or writes a lease's object.
-pub async fn call_store(
+/// Reads or conditionally writes the object of a lease.
+pub async fn run_lease_action(
     store: &impl ObjectStore,
     key: &ObjectKey,
     action: LeaseAction,
-) -> LeaseAnswer {
+) -> LeaseResponse {
     match action {
-        LeaseAction::Read => LeaseAnswer::Read(read_outcome(store.read(key).await)),
+        LeaseAction::Read => LeaseResponse::Read(read_outcome(store.read(key).await)),
         LeaseAction::Write { expect, record } => {
             let value = serde_json::to_value(record).unwrap_or_default();
-            LeaseAnswer::Written(write_outcome(&store.write(key, expect, value).await))
+            LeaseResponse::Written(write_outcome(&store.write(key, expect, value).await))
         }
     }
 }
 
-/// A lease as read; a value that is no lease counts as no answer, so nothing is overwritten.
+/// Converts a read result. An unreadable value counts as no response, so that it is never
+/// overwritten.
 fn read_outcome(read: Result<Option<StoredObject>, StoreError>) -> ReadOutcome {
     let object = match read {
         Ok(Some(object)) => object,
@@ -38,13 +39,13 @@
     match serde_json::from_value::<LeaseRecord>(object.value) {
         Ok(record) => ReadOutcome::Found(VersionedLease { version: object.version, record }),
         Err(error) => {
-            log::error!(target: "lease", name:% = object.name, error:% = error; "lease cannot be read");
+            log::error!(target: "lease", name:% = object.name, error:% = error; "lease record cannot be parsed");
             ReadOutcome::NoAnswer
         }
     }
 }
 
-/// How a conditional write ended, for the lease.
+/// Converts the result of a conditional write.
 fn write_outcome(written: &Result<ObjectVersion, StoreError>) -> WriteOutcome {
     match written {
         Ok(version) => WriteOutcome::Applied(*version),
--- a/crates/gannetwayd/src/lib.rs
+++ b/crates/gannetwayd/src/lib.rs
@@ -6,8 +6,8 @@
 
 pub mod apply;
 pub mod clock;
-pub mod conductor;
 pub mod context;
+pub mod coordinator;
 pub mod daemon;
 pub mod documents;
 pub mod home;
--- a/crates/gannetwayd/src/members.rs
+++ b/crates/gannetwayd/src/members.rs
@@ -1,4 +1,4 @@
-//! Keeps the member table and sends heartbeats.
+//! Maintains the member table and sends heartbeats.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,12 +17,12 @@
 
 use crate::context::BoxContext;
 
-/// Time between looks at whether beats are due.
+/// Interval at which due heartbeats are checked.
 const TICK: Duration = Duration::from_millis(250);
-/// Time between readings of the platform's list of boxes, once it has been read.
-const LIST_EVERY: Duration = Duration::from_secs(30);
-/// Time between tries while the list has not been read.
-const LIST_RETRY: Duration = Duration::from_secs(1);
+/// Interval between reads of the platform's list of boxes after a success.
+const LIST_INTERVAL: Duration = Duration::from_secs(30);
+/// Delay before a failed read of the list is retried.
+const LIST_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Owns the member table.
 #[derive(Debug, Actor)]
@@ -32,23 +32,22 @@
     out: watch::Sender<Arc<MemberTable>>,
 }
 
-/// A heartbeat came in.
+/// A heartbeat was received.
 #[derive(Debug)]
-pub struct HeardBeat(pub Heartbeat);
+pub struct ReceivedHeartbeat(pub Heartbeat);
 
 /// The platform's list of boxes was read.
 #[derive(Debug)]
 pub struct ListedBoxes(pub Vec<MemberRecord>);
 
-/// A planned stop begins: tell the peers.
+/// Announces a planned stop to the peers.
 #[derive(Debug)]
 pub struct LeaveFleet;
 
-/// Time passed.
 #[derive(Debug)]
-struct BeatTick;
+struct HeartbeatTick;
 
-/// A box as the platform lists it.
+/// A box in the platform's list.
 #[derive(Debug, Deserialize)]
 struct ListedBox {
     id: BoxId,
@@ -59,7 +58,7 @@
 }
 
 impl MemberActor {
-    /// Starts the actor and the tasks that feed it, on the control thread.
+    /// Spawns the actor and its background tasks on the control thread.
     pub fn start(ctx: &BoxContext, out: watch::Sender<Arc<MemberTable>>) -> ActorRef<Self> {
         let _on_control = ctx.control.enter();
         let table = MemberTable::new(ctx.me.clone());
@@ -76,30 +75,30 @@
         self.out.send_replace(Arc::new(self.table.clone()));
     }
 
-    fn send_beats(&mut self) {
+    fn send_heartbeats(&mut self) {
         let now = self.ctx.clock.now();
         let (generation, revision) = {
             let documents = self.ctx.documents.borrow();
             (documents.config.generation, documents.targets.list().revision)
         };
         let due = now >= self.table.next_heartbeat_at();
-        let mut beats = self.table.poll(now, generation);
+        let mut heartbeats = self.table.poll(now, generation);
         if due {
-            beats.extend(self.greetings(&beats, generation));
+            heartbeats.extend(self.bootstrap_heartbeats(&heartbeats, generation));
         }
-        for OutgoingHeartbeat { to, beat } in beats {
+        for OutgoingHeartbeat { to, beat } in heartbeats {
             let beat = heartbeat_to_wire(&beat, revision);
             self.send(to, beat);
         }
     }
 
-    /// Beats to the peers named in the settings, while nobody else is known.
-    fn greetings(
+    /// Creates heartbeats for the configured peers when the table yields none.
+    fn bootstrap_heartbeats(
         &self,
-        beats: &[OutgoingHeartbeat],
+        heartbeats: &[OutgoingHeartbeat],
         generation: ids::Generation,
     ) -> Vec<OutgoingHeartbeat> {
-        if !beats.is_empty() {
+        if !heartbeats.is_empty() {
             return Vec::new();
         }
         let me = &self.ctx.me;
@@ -117,27 +116,27 @@
 
     fn send(&self, to: String, beat: BoxHeartbeat) {
         let bytes = prost::Message::encoded_len(&beat);
-        self.ctx.metrics.beat_bytes.inc_by(bytes as u64);
+        self.ctx.metrics.heartbeat_bytes.inc_by(bytes as u64);
         let ctx = Arc::clone(&self.ctx);
         self.ctx.traffic.spawn(async move {
             if let Err(error) = ctx.links.send_heartbeat(&to, beat).await {
-                log::debug!(target: "members", to:% = to, error:% = error; "beat not sent");
+                log::debug!(target: "members", to:% = to, error:% = error; "heartbeat not sent");
             }
         });
     }
 }
 
-impl Message<HeardBeat> for MemberActor {
+impl Message<ReceivedHeartbeat> for MemberActor {
     type Reply = ();
 
-    async fn handle(&mut self, msg: HeardBeat, _: &mut Context<Self, ()>) {
+    async fn handle(&mut self, msg: ReceivedHeartbeat, _: &mut Context<Self, ()>) {
         let from = msg.0.from.clone();
         let now = self.ctx.clock.now();
         let before = self.table.liveness(now, &from);
         self.table.receive_heartbeat(now, msg.0);
         let after = self.table.liveness(now, &from);
         if before != after {
-            log::info!(target: "members", peer:% = from, liveness:? = after; "peer changed");
+            log::info!(target: "members", peer:% = from, liveness:? = after; "peer liveness changed");
         }
         self.publish();
     }
@@ -149,7 +148,7 @@
     async fn handle(&mut self, msg: ListedBoxes, _: &mut Context<Self, ()>) {
         let now = self.ctx.clock.now();
         for record in msg.0 {
-            // The list only seeds: a box already known is judged by its own beats.
+            // The list only adds unknown boxes; known boxes are tracked by their heartbeats.
             if self.table.liveness(now, &record.id).is_none() {
                 self.table.merge_relayed(now, RelayedRecord { record, age: Duration::ZERO });
             }
@@ -163,16 +162,16 @@
 
     async fn handle(&mut self, _: LeaveFleet, _: &mut Context<Self, ()>) {
         self.table.leave();
-        self.send_beats();
+        self.send_heartbeats();
         self.publish();
     }
 }
 
-impl Message<BeatTick> for MemberActor {
+impl Message<HeartbeatTick> for MemberActor {
     type Reply = ();
 
-    async fn handle(&mut self, _: BeatTick, _: &mut Context<Self, ()>) {
-        self.send_beats();
+    async fn handle(&mut self, _: HeartbeatTick, _: &mut Context<Self, ()>) {
+        self.send_heartbeats();
         self.publish();
     }
 }
@@ -180,7 +179,7 @@
 async fn tick(ctx: BoxContext, actor: ActorRef<MemberActor>) {
     let mut interval = time::interval(TICK);
     while ctx.stop.run_until_cancelled(interval.tick()).await.is_some() {
-        if actor.tell(BeatTick).await.is_err() {
+        if actor.tell(HeartbeatTick).await.is_err() {
             return;
         }
     }
@@ -189,18 +188,18 @@
 async fn read_list(ctx: BoxContext, actor: ActorRef<MemberActor>) {
     loop {
         let listed = ctx.store.list(ObjectKind::Box).await;
-        ctx.note_platform(listed.is_ok());
+        ctx.record_platform_status(listed.is_ok());
         let pause = match listed {
             Ok(listed) => {
                 let boxes = listed.objects.into_iter().filter_map(listed_box).collect();
                 if actor.tell(ListedBoxes(boxes)).await.is_err() {
                     return;
                 }
-                LIST_EVERY
+                LIST_INTERVAL
             }
             Err(error) => {
                 log::debug!(target: "members", error:% = error; "list of boxes not read");
-                LIST_RETRY
+                LIST_RETRY_DELAY
             }
         };
         if ctx.stop.run_until_cancelled(time::sleep(pause)).await.is_none() {
@@ -209,7 +208,8 @@
     }
 }
 
-/// A listed box; its life is unknown, so any beat of its own counts for more.
+/// Parses a listed box. Its incarnation is unknown and set to the lowest value, so any of its
+/// heartbeats supersedes the record.
 fn listed_box(object: StoredObject) -> Option<MemberRecord> {
     let listed: ListedBox = serde_json::from_value(object.value)
         .map_err(|error| log::warn!(target: "members", name:% = object.name, error:% = error; "listed box skipped"))
--- a/crates/gannetwayd/src/metrics.rs
+++ b/crates/gannetwayd/src/metrics.rs
@@ -71,7 +71,7 @@
     /// Boxes taken to be live.
     pub live_boxes: Gauge,
     /// Bytes of heartbeats sent.
-    pub beat_bytes: Counter,
+    pub heartbeat_bytes: Counter,
     /// Leases held or lost.
     pub lease_changes: Counter,
     /// Time from a plain request's arrival to the end of its answer, in seconds.
@@ -98,7 +98,7 @@
             in_flight: Gauge::default(),
             generation: Gauge::default(),
             live_boxes: Gauge::default(),
-            beat_bytes: Counter::default(),
+            heartbeat_bytes: Counter::default(),
             lease_changes: Counter::default(),
             call_seconds: seconds(),
             pull_wait_seconds: seconds(),
@@ -119,7 +119,7 @@
         registry.register("requests_in_flight", "Requests in flight", self.in_flight.clone());
         registry.register("config_generation", "Generation in force", self.generation.clone());
         registry.register("live_boxes", "Boxes taken to be live", self.live_boxes.clone());
-        let bytes = self.beat_bytes.clone();
+        let bytes = self.heartbeat_bytes.clone();
         registry.register_with_unit("heartbeat_sent", "Heartbeats sent", Unit::Bytes, bytes);
         registry.register("lease_changes", "Leases taken or lost", self.lease_changes.clone());
         let call = self.call_seconds.clone();
--- a/crates/gannetwayd/src/peer.rs
+++ b/crates/gannetwayd/src/peer.rs
@@ -1,4 +1,4 @@
-//! Answers requests from other boxes, and from this one.
+//! Dispatches requests from other boxes and from this box itself.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,34 +15,34 @@
 use wire::{heartbeat_from_wire, parse_id};
 
 use crate::context::BoxContext;
-use crate::documents::{DocumentActor, HeardGenerations};
-use crate::members::{HeardBeat, MemberActor};
+use crate::documents::{DocumentActor, PeerGenerations};
+use crate::members::{MemberActor, ReceivedHeartbeat};
 use crate::refuse::{wire_bad_request, wire_not_run};
 use crate::serve::{step, target};
 
-/// Serves one box's peers.
+/// Handles the requests and heartbeats of peers.
 #[derive(Debug, Clone)]
 pub struct BoxHandler {
-    /// The box.
+    /// State shared by all parts of the box.
     pub ctx: BoxContext,
-    /// Its members.
+    /// The actor that owns the member table.
     pub members: ActorRef<MemberActor>,
-    /// Its documents.
+    /// The actor that owns the documents.
     pub documents: ActorRef<DocumentActor>,
 }
 
-/// One request with what its answer needs.
+/// Context of a request being handled.
 #[derive(Debug)]
-pub struct Served<'a> {
-    /// The box.
+pub struct IncomingRequest<'a> {
+    /// State shared by all parts of the box.
     pub ctx: &'a BoxContext,
-    /// The request's id, the same on every hop.
+    /// Request id, the same on every hop.
     pub request_id: String,
-    /// The trace context for further hops.
+    /// Trace context for outgoing calls (W3C traceparent).
     pub traceparent: String,
-    /// Time left when the request came in.
+    /// Time left when the request arrived.
     pub time_left: Duration,
-    /// Ends when the caller goes away.
+    /// Cancelled when the caller disconnects.
     pub cancel: CancellationToken,
 }
 
@@ -50,15 +50,15 @@
     async fn request(&self, request: Request, sink: ResponseSink, cancel: CancellationToken) {
         let Some(body) = request.body else {
             return sink
-                .refuse(wire_bad_request("the request is empty: send one of its kinds"))
+                .refuse(wire_bad_request("the request has no body: set one of its variants"))
                 .await;
         };
         if request.time_left_ms == 0 {
             return sink.refuse(wire_not_run(NotRun::Expired, Duration::ZERO)).await;
         }
         let span = self.ctx.tracer.hop(hop_name(&body), SpanKind::Server, &request.traceparent);
-        span.note("request_id", request.request_id.clone());
-        let served = Served {
+        span.set_attribute("request_id", request.request_id.clone());
+        let incoming = IncomingRequest {
             ctx: &self.ctx,
             request_id: request.request_id,
             traceparent: span.traceparent().to_owned(),
@@ -66,40 +66,40 @@
             cancel,
         };
         match body {
-            request::Body::OpenStep(open) => step::open(&served, open, sink).await,
-            request::Body::PullStep(pull) => step::pull(&served, pull, sink).await,
-            request::Body::AdvanceStep(advance) => step::advance(&served, advance, sink).await,
-            request::Body::CloseStep(close) => step::close(&served, close, sink).await,
-            request::Body::StepStatus(status) => step::status(&served, status, sink).await,
-            request::Body::TakeOver(take) => step::take_over(&served, take, sink).await,
-            request::Body::Generate(generate) => target::generate(&served, generate, sink).await,
-            request::Body::PlainCall(call) => target::plain(&served, call, sink).await,
-            request::Body::Score(score) => target::score(&served, score, sink).await,
-            request::Body::SwapOrder(order) => target::order(&served, order, sink).await,
-            request::Body::ReadReplica(read) => target::read(&served, read, sink).await,
+            request::Body::OpenStep(open) => step::open(&incoming, open, sink).await,
+            request::Body::PullStep(pull) => step::pull(&incoming, pull, sink).await,
+            request::Body::AdvanceStep(advance) => step::advance(&incoming, advance, sink).await,
+            request::Body::CloseStep(close) => step::close(&incoming, close, sink).await,
+            request::Body::StepStatus(status) => step::status(&incoming, status, sink).await,
+            request::Body::TakeOver(take) => step::take_over(&incoming, take, sink).await,
+            request::Body::Generate(generate) => target::generate(&incoming, generate, sink).await,
+            request::Body::PlainCall(call) => target::plain(&incoming, call, sink).await,
+            request::Body::Score(score) => target::score(&incoming, score, sink).await,
+            request::Body::SwapOrder(order) => target::order(&incoming, order, sink).await,
+            request::Body::ReadReplica(read) => target::read(&incoming, read, sink).await,
             request::Body::FetchDocuments(fetch) => self.documents(&fetch, sink).await,
             request::Body::Shard(_) => {
-                let why = "this box keeps no shards of jobs: ask a box that has a disk";
+                let why = "this box serves no job shards: send the request to a storage box";
                 sink.refuse(wire_bad_request(why)).await;
             }
         }
     }
 
     async fn handle_heartbeat(&self, beat: BoxHeartbeat) {
-        let generations = parse_id(&beat.box_id).map(|peer| HeardGenerations {
+        let generations = parse_id(&beat.box_id).map(|peer| PeerGenerations {
             peer,
             config: ids::Generation::new(beat.config_generation),
             targets: ids::Generation::new(beat.targets_revision),
         });
-        let beat = match heartbeat_from_wire(beat) {
-            Ok(beat) => beat,
+        let heartbeat = match heartbeat_from_wire(beat) {
+            Ok(heartbeat) => heartbeat,
             Err(error) => {
-                log::warn!(target: "members", error:% = error; "beat skipped");
+                log::warn!(target: "members", error:% = error; "invalid heartbeat ignored");
                 return;
             }
         };
-        // Both actors are gone only when the box stops.
-        let _stopped = self.members.tell(HeardBeat(beat)).await;
+        // Sending fails only when the box stops.
+        let _stopped = self.members.tell(ReceivedHeartbeat(heartbeat)).await;
         if let Ok(generations) = generations
             && self.is_behind(&generations)
         {
@@ -109,7 +109,7 @@
 }
 
 impl BoxHandler {
-    fn is_behind(&self, heard: &HeardGenerations) -> bool {
+    fn is_behind(&self, heard: &PeerGenerations) -> bool {
         let documents = self.ctx.documents.borrow();
         heard.config > documents.config.generation
             || heard.targets > documents.targets.list().revision
@@ -119,8 +119,7 @@
         let documents = self.ctx.documents.borrow().clone();
         let newer_config = documents.config.generation.get() > fetch.config_generation;
         let newer_targets = documents.targets.list().revision.get() > fetch.targets_revision;
-        // What the peer holds already is left out; a configuration changes often, and only a
-        // pool at a time.
+        // Send only changes to the peer, since most configuration changes affect one pool.
         let base = ids::Generation::new(fetch.config_generation);
         let config = encode_if(newer_config, &documents.config.since(base));
         let targets = encode_if(newer_targets, documents.targets.list());
@@ -130,7 +129,7 @@
     }
 }
 
-/// JSON of the document, or nothing when the peer has it already.
+/// Encodes the document as JSON, or returns an empty vector if it is not newer.
 fn encode_if<T: serde::Serialize>(newer: bool, document: &T) -> Vec<u8> {
     if !newer {
         return Vec::new();
@@ -156,7 +155,7 @@
     }
 }
 
-/// Answers requests that the box makes to itself, each as a task of its own.
+/// Handles the requests that the box sends to itself, each in its own task.
 pub async fn serve_local(
     handler: BoxHandler,
     mut requests: tokio::sync::mpsc::UnboundedReceiver<crate::context::LocalRequest>,
--- a/crates/gannetwayd/src/refuse.rs
+++ b/crates/gannetwayd/src/refuse.rs
@@ -12,9 +12,9 @@
 use wire::peer::{Refused, RefusedKind, TargetLoad};
 
 /// What a caller is told to wait while a keeper is found.
-const KEEPER_RETRY: Duration = Duration::from_millis(200);
+const KEEPER_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Retry-After is spread by up to this factor, so that callers do not return all at once.
-const SPREAD: f64 = 1.0;
+const RETRY_JITTER: f64 = 1.0;
 
 /// Short stable names of the reasons, for the wire.
 const REASONS: [(&str, NotRun); 10] = [
@@ -69,7 +69,7 @@
 pub fn wire_target_error(error: &TargetError) -> Refused {
     let refusal = match error {
         TargetError::NotSent => Refusal::not_run(NotRun::Unreachable, Duration::ZERO),
-        TargetError::Refused(_) => Refusal::not_run(NotRun::RefusedByTarget, KEEPER_RETRY),
+        TargetError::Refused(_) => Refusal::not_run(NotRun::RefusedByTarget, KEEPER_RETRY_DELAY),
         TargetError::Broken(_) => Refusal::Unknown,
     };
     Refused { message: error.to_string(), ..wire_refusal(&refusal, None) }
@@ -79,7 +79,7 @@
 pub fn wire_call_error(error: CallError) -> Refused {
     match error {
         CallError::Refused(refused) => *refused,
-        CallError::NotSent { .. } => wire_not_run(NotRun::Unreachable, KEEPER_RETRY),
+        CallError::NotSent { .. } => wire_not_run(NotRun::Unreachable, KEEPER_RETRY_DELAY),
         CallError::Broken { .. } | CallError::LinkLost => {
             Refused { message: error.to_string(), ..wire_refusal(&Refusal::Unknown, None) }
         }
@@ -91,14 +91,14 @@
     let (kind, retry_after) = match refusal {
         KeeperRefusal::NotKeeping { .. }
         | KeeperRefusal::Ledger(LedgerError::Superseded { .. }) => {
-            (RefusedKind::NotKept, KEEPER_RETRY)
+            (RefusedKind::NotKept, KEEPER_RETRY_DELAY)
         }
         KeeperRefusal::NotOpen { .. }
         | KeeperRefusal::TooManySteps { .. }
         | KeeperRefusal::Ledger(LedgerError::OtherBody { .. }) => {
             (RefusedKind::Conflict, Duration::ZERO)
         }
-        KeeperRefusal::NotInPool { .. } => (RefusedKind::NotRun, KEEPER_RETRY),
+        KeeperRefusal::NotInPool { .. } => (RefusedKind::NotRun, KEEPER_RETRY_DELAY),
         KeeperRefusal::Ledger(LedgerError::Spec(_) | LedgerError::NoSuchSlot { .. }) => {
             (RefusedKind::BadRequest, Duration::ZERO)
         }
@@ -126,7 +126,7 @@
 const NOT_OPEN: &str = "not_open";
 
 /// The reason and pause of a "not run" refusal from the wire.
-pub fn not_run_of(refused: &Refused) -> Option<(NotRun, Duration)> {
+pub fn parse_not_run(refused: &Refused) -> Option<(NotRun, Duration)> {
     if refused.kind() == RefusedKind::Unknown {
         return None;
     }
@@ -145,6 +145,6 @@
         RefusedKind::Conflict => ErrorKind::Conflict,
     };
     let pause = Duration::from_millis(refused.retry_after_ms);
-    let spread = pause.mul_f64(1.0 + SPREAD * random.clamp(0.0, 1.0));
+    let spread = pause.mul_f64(1.0 + RETRY_JITTER * random.clamp(0.0, 1.0));
     ErrorBody { kind, message: refused.message.clone(), retry_after_ms: whole_millis(spread) }
 }
--- a/crates/gannetwayd/src/roles.rs
+++ b/crates/gannetwayd/src/roles.rs
@@ -29,7 +29,7 @@
 
 /// Threads that wait for the disk: a round of the log, a copy from each of two boxes, a clean-up.
 /// Each has memory of its own.
-const DISK_THREADS: usize = 4;
+const MAX_BLOCKING_THREADS: usize = 4;
 
 /// Words that name a role.
 const ROLES: [&str; 2] = ["entry", "keep"];
@@ -64,8 +64,10 @@
 fn start_role(role: Role) -> Result<(), RoleError> {
     // One thread: these boxes have a fraction of one core, and a second thread would only add
     // the price of waking it.
-    let runtime =
-        Builder::new_current_thread().enable_all().max_blocking_threads(DISK_THREADS).build()?;
+    let runtime = Builder::new_current_thread()
+        .enable_all()
+        .max_blocking_threads(MAX_BLOCKING_THREADS)
+        .build()?;
     let flush = match role {
         Role::Entry(raw) => {
             let settings = raw.check()?;
--- a/crates/gannetwayd/src/route.rs
+++ b/crates/gannetwayd/src/route.rs
@@ -1,4 +1,4 @@
-//! Finds the box that must handle a request: a target's home, or a step's keeper.
+//! Routes requests to the responsible box: the home of a target or the keeper of a step.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -16,29 +16,29 @@
     Refused, RefusedKind, Request, SampleItem, StepRef, StepState, request, response_item,
 };
 
-use crate::context::{BoxContext, Place, wire_millis};
+use crate::context::{BoxContext, BoxLocation, wire_millis};
 use crate::keeper::KeeperKey;
 use crate::refuse::wire_not_run;
 
-/// What a caller is told to wait when nobody can reach a target's failure domain.
-const DOMAIN_RETRY: Duration = Duration::from_secs(1);
-/// Pause between looks for a keeper.
-const LOOK_PAUSE: Duration = Duration::from_millis(100);
-/// How long an address that failed is not tried as a keeper again.
-const AVOID_FOR: Duration = Duration::from_secs(2);
-/// Time in which a box at work says that a request has reached it. A box that is frozen or cut
-/// off is left after this, for its connection may stay open without a word.
-const HEARD_TIME: Duration = Duration::from_millis(400);
-/// Time for one try at a keeper beyond the request's own wait.
-const TRY_TIME: Duration = Duration::from_millis(750);
-/// Slack beyond a try's time before its box counts as silent.
-const SILENCE_SLACK: Duration = Duration::from_millis(250);
+/// Retry delay reported to callers when a target's failure domain is unreachable.
+const DOMAIN_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Delay between attempts to find a keeper.
+const LOOKUP_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// How long an address that failed is not tried again as a keeper.
+const FAILED_KEEPER_BACKOFF: Duration = Duration::from_secs(2);
+/// Timeout for the receipt of a request to be acknowledged. Detects frozen or partitioned boxes,
+/// whose connections may stay open.
+const ACK_TIMEOUT: Duration = Duration::from_millis(400);
+/// Time for one call to a keeper, in addition to the request's own wait.
+const KEEPER_CALL_TIMEOUT: Duration = Duration::from_millis(750);
+/// Slack added to a call's time before its response stream counts as idle.
+const IDLE_TIMEOUT_SLACK: Duration = Duration::from_millis(250);
 
 fn refused(refused: Refused) -> CallError {
     CallError::Refused(Box::new(refused))
 }
 
-/// Sends work for a target to its home.
+/// Sends a request for a target to the target's home.
 pub async fn call_home(
     ctx: &BoxContext,
     target: &TargetId,
@@ -46,62 +46,63 @@
 ) -> Result<ResponseStream, CallError> {
     let record = ctx.documents.borrow().target(target).cloned();
     let Some(record) = record else {
-        return Err(refused(wire_not_run(NotRun::Unknown, DOMAIN_RETRY)));
+        return Err(refused(wire_not_run(NotRun::Unknown, DOMAIN_RETRY_DELAY)));
     };
-    let Some(place) = home_place(ctx, &record) else {
-        return Err(refused(wire_not_run(NotRun::Unreachable, DOMAIN_RETRY)));
+    let Some(location) = home_location(ctx, &record) else {
+        return Err(refused(wire_not_run(NotRun::Unreachable, DOMAIN_RETRY_DELAY)));
     };
-    ctx.call(&place, request).await
+    ctx.call(&location, request).await
 }
 
-/// The home of a target of this domain, or a box of the target's domain that knows it.
-pub fn home_place(ctx: &BoxContext, record: &TargetRecord) -> Option<Place> {
+/// Returns the home of a target in this domain, or a random live box of the target's domain.
+/// Returns `None` when no box of that domain is live.
+pub fn home_location(ctx: &BoxContext, record: &TargetRecord) -> Option<BoxLocation> {
     let now = ctx.clock.now();
     let members = ctx.members.borrow();
     if record.domain == ctx.me.domain {
         let owner = members.owner_in(now, &record.domain, record.id.as_str());
-        // A box that stops still serves what only it can.
-        return Some(owner.map_or(Place::Here, |owner| ctx.place_of(owner)));
+        // Without an owner, for example during a stop, this box serves the target itself.
+        return Some(owner.map_or(BoxLocation::Here, |owner| ctx.location_of(owner)));
     }
     let contacts = members.live_in(now, &record.domain);
     if contacts.is_empty() {
         return None;
     }
     let pick = rand::rng().random_range(0..contacts.len());
-    Some(ctx.place_of(contacts[pick]))
+    Some(ctx.location_of(contacts[pick]))
 }
 
-/// The answer to a request about a step.
+/// The response to a request about a step.
 #[derive(Debug, Default)]
-pub struct StepAnswer {
-    /// Samples handed out.
+pub struct StepResponse {
+    /// Samples returned by a pull.
     pub samples: Vec<SampleItem>,
-    /// The step's state, if the answer holds one.
+    /// The step's state, if the response contains one.
     pub state: Option<StepState>,
 }
 
-/// Remembers who keeps which trainer's steps.
+/// Caches the addresses of keepers.
 #[derive(Debug, Clone, Default)]
 pub struct KeeperDirectory {
-    known: Arc<Mutex<Known>>,
+    cache: Arc<Mutex<KeeperCache>>,
 }
 
 #[derive(Debug, Default)]
-struct Known {
+struct KeeperCache {
     keepers: HashMap<KeeperKey, String>,
     failed: HashMap<String, Moment>,
 }
 
-/// One place to try, and whether its box should claim the lease.
-struct Guess {
-    place: Place,
+/// A box to call, and whether it should claim the lease.
+struct KeeperCandidate {
+    location: BoxLocation,
     claim: bool,
 }
 
 impl KeeperDirectory {
-    /// Sends a request about a step to its keeper, wherever that is, until `deadline`. A try
-    /// may take the request's own `wait` and a little. All such requests may be repeated
-    /// without harm.
+    /// Sends a request about a step to its keeper, retrying until `deadline`. Each call may take
+    /// the request's own `wait` plus `KEEPER_CALL_TIMEOUT`. All requests about steps are
+    /// idempotent.
     pub async fn call(
         &self,
         ctx: &BoxContext,
@@ -109,130 +110,142 @@
         mut request: Request,
         wait: Duration,
         deadline: Moment,
-    ) -> Result<StepAnswer, CallError> {
-        let mut last = CallError::NotSent { address: "the keeper".to_owned() };
+    ) -> Result<StepResponse, CallError> {
+        let mut last_error = CallError::NotSent { address: "the keeper".to_owned() };
         while ctx.clock.now() < deadline {
-            let guess = self.guess(ctx, key).await;
-            let left = deadline.since(ctx.clock.now()).min(wait + TRY_TIME);
+            let candidate = self.next_candidate(ctx, key).await;
+            let left = deadline.since(ctx.clock.now()).min(wait + KEEPER_CALL_TIMEOUT);
             request.time_left_ms = wire_millis(left);
-            set_claim(&mut request, guess.claim);
-            let silence = left + SILENCE_SLACK;
-            match self.try_one(ctx, &guess.place, request.clone(), silence).await {
-                Ok(answer) => {
-                    self.remember(key, &guess.place);
-                    return Ok(answer);
+            set_claim(&mut request, candidate.claim);
+            let idle_timeout = left + IDLE_TIMEOUT_SLACK;
+            match self.call_candidate(ctx, &candidate.location, request.clone(), idle_timeout).await
+            {
+                Ok(response) => {
+                    self.record_keeper(key, &candidate.location);
+                    return Ok(response);
                 }
                 Err(CallError::Refused(refused)) if refused.kind() != RefusedKind::NotKept => {
                     return Err(CallError::Refused(refused));
                 }
                 Err(error) => {
-                    log::debug!(target: "route", trainer:% = key, error:% = error; "keeper not there");
-                    self.learn_from(ctx, key, &guess.place, &error);
-                    last = error;
+                    log::debug!(target: "route", trainer:% = key, error:% = error; "keeper call failed");
+                    self.record_failure(ctx, key, &candidate.location, &error);
+                    last_error = error;
                 }
             }
-            time::sleep(LOOK_PAUSE).await;
+            time::sleep(LOOKUP_RETRY_DELAY).await;
         }
-        Err(last)
+        Err(last_error)
     }
 
-    async fn try_one(
+    async fn call_candidate(
         &self,
         ctx: &BoxContext,
-        place: &Place,
+        location: &BoxLocation,
         request: Request,
-        silence: Duration,
-    ) -> Result<StepAnswer, CallError> {
-        let mut stream = ctx.call(place, request).await?;
-        let mut answer = StepAnswer::default();
-        let mut patience = HEARD_TIME;
-        while let Some(item) = stream.next(patience).await? {
-            patience = silence;
+        idle_timeout: Duration,
+    ) -> Result<StepResponse, CallError> {
+        let mut stream = ctx.call(location, request).await?;
+        let mut response = StepResponse::default();
+        let mut timeout = ACK_TIMEOUT;
+        while let Some(item) = stream.next(timeout).await? {
+            timeout = idle_timeout;
             match item.body {
                 Some(response_item::Body::Ack(_)) => {}
-                Some(response_item::Body::Sample(sample)) => answer.samples.push(sample),
-                Some(response_item::Body::StepState(state)) => answer.state = Some(state),
-                _ => return Err(CallError::Broken { why: "an answer that is about no step" }),
+                Some(response_item::Body::Sample(sample)) => response.samples.push(sample),
+                Some(response_item::Body::StepState(state)) => response.state = Some(state),
+                _ => return Err(CallError::Broken { why: "response is not about a step" }),
             }
         }
-        Ok(answer)
+        Ok(response)
     }
 
-    async fn guess(&self, ctx: &BoxContext, key: &KeeperKey) -> Guess {
-        if let Some(address) = self.known_keeper(ctx, key) {
-            return Guess { place: address_place(ctx, address), claim: false };
+    async fn next_candidate(&self, ctx: &BoxContext, key: &KeeperKey) -> KeeperCandidate {
+        if let Some(address) = self.cached_keeper(ctx, key) {
+            return KeeperCandidate { location: location_at(ctx, address), claim: false };
         }
         if ctx.keepers.get(key).is_some() {
-            return Guess { place: Place::Here, claim: true };
+            return KeeperCandidate { location: BoxLocation::Here, claim: true };
         }
         if let Some(address) = self.lease_holder(ctx, key).await {
-            return Guess { place: address_place(ctx, address), claim: false };
+            return KeeperCandidate { location: location_at(ctx, address), claim: false };
         }
         let now = ctx.clock.now();
         let lease = key.lease().to_string();
         let members = ctx.members.borrow();
         let owner = members.owner_in(now, &ctx.me.domain, &lease);
-        Guess { place: owner.map_or(Place::Here, |owner| ctx.place_of(owner)), claim: true }
+        KeeperCandidate {
+            location: owner.map_or(BoxLocation::Here, |owner| ctx.location_of(owner)),
+            claim: true,
+        }
     }
 
-    fn known_keeper(&self, ctx: &BoxContext, key: &KeeperKey) -> Option<String> {
-        let known = self.lock();
-        let address = known.keepers.get(key)?;
-        (!known.avoids(address, ctx.clock.now())).then(|| address.clone())
+    fn cached_keeper(&self, ctx: &BoxContext, key: &KeeperKey) -> Option<String> {
+        let cache = self.lock();
+        let address = cache.keepers.get(key)?;
+        (!cache.is_backed_off(address, ctx.clock.now())).then(|| address.clone())
     }
 
-    /// The holder named by the lease object, unless it failed a moment ago.
+    /// Returns the lease holder's address, unless the lease is released or the address is backed
+    /// off.
     async fn lease_holder(&self, ctx: &BoxContext, key: &KeeperKey) -> Option<String> {
         let object = ctx.store.read(&key.lease()).await.ok()??;
         let record: LeaseRecord = serde_json::from_value(object.value).ok()?;
-        let usable = !record.released && !self.lock().avoids(&record.address, ctx.clock.now());
+        let usable =
+            !record.released && !self.lock().is_backed_off(&record.address, ctx.clock.now());
         usable.then_some(record.address)
     }
 
-    fn remember(&self, key: &KeeperKey, place: &Place) {
-        let mut known = self.lock();
-        match place {
-            Place::At(address) => {
-                known.failed.remove(address);
-                known.keepers.insert(key.clone(), address.clone());
+    fn record_keeper(&self, key: &KeeperKey, location: &BoxLocation) {
+        let mut cache = self.lock();
+        match location {
+            BoxLocation::At(address) => {
+                cache.failed.remove(address);
+                cache.keepers.insert(key.clone(), address.clone());
             }
-            Place::Here => {
-                known.keepers.remove(key);
+            BoxLocation::Here => {
+                cache.keepers.remove(key);
             }
         }
     }
 
-    fn learn_from(&self, ctx: &BoxContext, key: &KeeperKey, place: &Place, error: &CallError) {
-        let mut known = self.lock();
-        known.keepers.remove(key);
+    fn record_failure(
+        &self,
+        ctx: &BoxContext,
+        key: &KeeperKey,
+        location: &BoxLocation,
+        error: &CallError,
+    ) {
+        let mut cache = self.lock();
+        cache.keepers.remove(key);
         match error {
             CallError::Refused(refused) if !refused.keeper_address.is_empty() => {
                 let hinted = refused.keeper_address.clone();
-                if !known.avoids(&hinted, ctx.clock.now()) {
-                    known.keepers.insert(key.clone(), hinted);
+                if !cache.is_backed_off(&hinted, ctx.clock.now()) {
+                    cache.keepers.insert(key.clone(), hinted);
                 }
             }
             _ => {
-                if let Place::At(address) = place {
-                    known.failed.insert(address.clone(), ctx.clock.now());
+                if let BoxLocation::At(address) = location {
+                    cache.failed.insert(address.clone(), ctx.clock.now());
                 }
             }
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Known> {
-        self.known.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, KeeperCache> {
+        self.cache.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Known {
-    fn avoids(&self, address: &str, now: Moment) -> bool {
-        self.failed.get(address).is_some_and(|at| now.since(*at) < AVOID_FOR)
+impl KeeperCache {
+    fn is_backed_off(&self, address: &str, now: Moment) -> bool {
+        self.failed.get(address).is_some_and(|at| now.since(*at) < FAILED_KEEPER_BACKOFF)
     }
 }
 
-fn address_place(ctx: &BoxContext, address: String) -> Place {
-    if address == ctx.me.address { Place::Here } else { Place::At(address) }
+fn location_at(ctx: &BoxContext, address: String) -> BoxLocation {
+    if address == ctx.me.address { BoxLocation::Here } else { BoxLocation::At(address) }
 }
 
 fn set_claim(request: &mut Request, claim: bool) {
--- a/crates/gannetwayd/src/serve/mod.rs
+++ b/crates/gannetwayd/src/serve/mod.rs
@@ -1,4 +1,4 @@
-//! What a box does with the requests of its peers: steps it keeps, targets it is the home of.
+//! Request handlers for the steps kept by this box and the targets whose home it is.
 
 pub mod step;
 pub mod target;
--- a/crates/gannetwayd/src/serve/step.rs
+++ b/crates/gannetwayd/src/serve/step.rs
@@ -1,4 +1,4 @@
-//! Requests about steps, at the box that keeps them.
+//! Handles requests about steps at the box that keeps them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,100 +19,105 @@
 
 use crate::context::BoxContext;
 use crate::keeper::{
-    AdoptSteps, AdvanceStep, CloseStep, KeeperActor, KeeperHandle, KeeperKey, OpenStep, PullStep,
-    Pulled, StepStateQuery,
+    AdoptSteps, AdvanceStep, CloseStep, KeeperActor, KeeperHandle, KeeperKey, OpenStep, PullReply,
+    PullStep, StepStateQuery,
 };
-use crate::peer::Served;
+use crate::peer::IncomingRequest;
 use crate::refuse::{wire_bad_request, wire_keeper_refusal, wire_not_run};
 
-/// Most samples in one answer; keeps answers under a few MiB.
-const MOST_SAMPLES: usize = 512;
-/// Kept back from a pull's time for its answer to travel.
-const ANSWER_TIME: Duration = Duration::from_millis(100);
+/// Maximum number of samples in one response; bounds its size.
+const MAX_SAMPLES: usize = 512;
+/// Part of the time left that is reserved for delivering the response.
+const RESPONSE_TIME_RESERVE: Duration = Duration::from_millis(100);
 
-type Answer<T> = Result<T, Refused>;
+type ServeResult<T> = Result<T, Refused>;
 
-/// Says at once that the request is here; what follows may wait for a lease or for samples.
-async fn say_heard(served: &Served<'_>, sink: &mut ResponseSink) {
-    let by = served.ctx.me.id.to_string();
+/// Acknowledges receipt of the request. The response itself may have to wait for a lease or for
+/// samples.
+async fn send_ack(incoming: &IncomingRequest<'_>, sink: &mut ResponseSink) {
+    let by = incoming.ctx.me.id.to_string();
     sink.item(ResponseItem { body: Some(response_item::Body::Ack(RequestAck { by })) }).await;
 }
 
 /// Opens a step.
-pub async fn open(served: &Served<'_>, open: peer::OpenStep, mut sink: ResponseSink) {
-    say_heard(served, &mut sink).await;
-    let answered = async {
-        let (handle, step, seen) = keeper(served, open.step.as_ref())?;
+pub async fn open(incoming: &IncomingRequest<'_>, open: peer::OpenStep, mut sink: ResponseSink) {
+    send_ack(incoming, &mut sink).await;
+    let result = async {
+        let (handle, step, seen) = keeper(incoming, open.step.as_ref())?;
         let spec = StepSpec {
             step,
             version: ModelVersion::new(open.version),
-            groups: open.groups.into_iter().map(group).collect::<Answer<Vec<GroupSpec>>>()?,
+            groups: open.groups.into_iter().map(group).collect::<ServeResult<Vec<GroupSpec>>>()?,
         };
         let held = SlotSet::from_bytes(open.held);
-        ask_until_kept(served, &handle, || OpenStep {
-            spec: spec.clone(),
-            held: held.clone(),
-            seen,
-        })
-        .await
+        ask_keeper(incoming, &handle, || OpenStep { spec: spec.clone(), held: held.clone(), seen })
+            .await
     };
-    answer_state(served, answered.await, sink).await;
+    send_state(incoming, result.await, sink).await;
 }
 
-/// Pulls samples, waiting for the first.
-pub async fn pull(served: &Served<'_>, pull: peer::PullStep, mut sink: ResponseSink) {
-    say_heard(served, &mut sink).await;
-    match pull_when_ready(served, pull).await {
-        Ok(pulled) => send_pulled(served, &pulled, sink).await,
+/// Pulls samples, waiting until the first one is available.
+pub async fn pull(incoming: &IncomingRequest<'_>, pull: peer::PullStep, mut sink: ResponseSink) {
+    send_ack(incoming, &mut sink).await;
+    match pull_when_ready(incoming, pull).await {
+        Ok(pulled) => send_pulled(incoming, &pulled, sink).await,
         Err(refused) => sink.refuse(refused).await,
     }
 }
 
-/// Names a newer version.
-pub async fn advance(served: &Served<'_>, advance: peer::AdvanceStep, mut sink: ResponseSink) {
-    say_heard(served, &mut sink).await;
-    let answered = async {
-        let (handle, step, seen) = keeper(served, advance.step.as_ref())?;
+/// Sets a newer weight version for a step.
+pub async fn advance(
+    incoming: &IncomingRequest<'_>,
+    advance: peer::AdvanceStep,
+    mut sink: ResponseSink,
+) {
+    send_ack(incoming, &mut sink).await;
+    let result = async {
+        let (handle, step, seen) = keeper(incoming, advance.step.as_ref())?;
         let version = ModelVersion::new(advance.version);
-        ask_until_kept(served, &handle, || AdvanceStep { step, version, seen }).await
+        ask_keeper(incoming, &handle, || AdvanceStep { step, version, seen }).await
     };
-    answer_state(served, answered.await, sink).await;
+    send_state(incoming, result.await, sink).await;
 }
 
 /// Closes a step.
-pub async fn close(served: &Served<'_>, close: peer::CloseStep, mut sink: ResponseSink) {
-    say_heard(served, &mut sink).await;
-    let answered = async {
-        let (handle, step, seen) = keeper(served, close.step.as_ref())?;
-        ask_until_kept(served, &handle, || CloseStep { step, seen }).await
+pub async fn close(incoming: &IncomingRequest<'_>, close: peer::CloseStep, mut sink: ResponseSink) {
+    send_ack(incoming, &mut sink).await;
+    let result = async {
+        let (handle, step, seen) = keeper(incoming, close.step.as_ref())?;
+        ask_keeper(incoming, &handle, || CloseStep { step, seen }).await
     };
-    match answered.await {
+    match result.await {
         Ok(()) => sink.end(ResponseEnd::default()).await,
         Err(refused) => sink.refuse(refused).await,
     }
 }
 
-/// Tells a step's state.
-pub async fn status(served: &Served<'_>, status: peer::StepStatus, mut sink: ResponseSink) {
-    say_heard(served, &mut sink).await;
-    let answered = async {
-        let (handle, step, _) = keeper(served, status.step.as_ref())?;
-        ask_until_kept(served, &handle, || StepStateQuery(step)).await
+/// Returns the state of a step.
+pub async fn status(
+    incoming: &IncomingRequest<'_>,
+    status: peer::StepStatus,
+    mut sink: ResponseSink,
+) {
+    send_ack(incoming, &mut sink).await;
+    let result = async {
+        let (handle, step, _) = keeper(incoming, status.step.as_ref())?;
+        ask_keeper(incoming, &handle, || StepStateQuery(step)).await
     };
-    answer_state(served, answered.await, sink).await;
+    send_state(incoming, result.await, sink).await;
 }
 
-/// Takes the steps of a box that stops.
-pub async fn take_over(served: &Served<'_>, take: TakeOver, sink: ResponseSink) {
+/// Adopts the steps of a box that stops.
+pub async fn take_over(incoming: &IncomingRequest<'_>, take: TakeOver, sink: ResponseSink) {
     let taken = async {
-        if served.ctx.is_leaving() {
+        if incoming.ctx.is_leaving() {
             return Err(wire_not_run(NotRun::Stopping, Duration::ZERO));
         }
         let key = key_of(&take.pool, &take.trainer)?;
         let snapshots: Result<Vec<_>, _> =
             take.snapshots.iter().map(|bytes| serde_json::from_slice(bytes)).collect();
         let snapshots = snapshots.map_err(|error| wire_bad_request(error.to_string()))?;
-        let handle = served.ctx.keepers.get_or_start(served.ctx, &key);
+        let handle = incoming.ctx.keepers.get_or_start(incoming.ctx, &key);
         let adopt = AdoptSteps { snapshots, token: FencingToken::new(take.token) };
         handle.actor.tell(adopt).await.map_err(|_stopped| stopping())
     };
@@ -126,15 +131,15 @@
     wire_not_run(NotRun::Stopping, Duration::ZERO)
 }
 
-fn key_of(pool: &str, trainer: &str) -> Answer<KeeperKey> {
+fn key_of(pool: &str, trainer: &str) -> ServeResult<KeeperKey> {
     let pool = parse_id(pool).map_err(|error| wire_bad_request(error.to_string()))?;
     let trainer = parse_id(trainer).map_err(|error| wire_bad_request(error.to_string()))?;
     Ok(KeeperKey { pool, trainer })
 }
 
-fn group(group: peer::Group) -> Answer<GroupSpec> {
+fn group(group: peer::Group) -> ServeResult<GroupSpec> {
     let samples = u16::try_from(group.samples)
-        .map_err(|_large| wire_bad_request("a group asks for more than 65535 samples: split it"))?;
+        .map_err(|_large| wire_bad_request("a group requests more than 65535 samples: split it"))?;
     let max_tokens = TokenCount::new(group.max_tokens);
     Ok(GroupSpec { prompt: Arc::from(group.prompt), samples, max_tokens })
 }
@@ -144,18 +149,19 @@
     documents.config.pool(&key.pool).is_some_and(|pool| pool.trainers.contains(&key.trainer))
 }
 
-/// The keeper on this box. It is started only when the sender found no other.
+/// Returns the keeper on this box. It is started only if the sender asks this box to claim the
+/// lease.
 fn keeper(
-    served: &Served<'_>,
+    incoming: &IncomingRequest<'_>,
     step: Option<&StepRef>,
-) -> Answer<(KeeperHandle, StepNumber, FencingToken)> {
+) -> ServeResult<(KeeperHandle, StepNumber, FencingToken)> {
     let step = step.ok_or_else(|| wire_bad_request("the request names no step"))?;
     let key = key_of(&step.pool, &step.trainer)?;
-    let ctx = served.ctx;
+    let ctx = incoming.ctx;
     let known = ctx.keepers.get(&key);
     let handle = match known {
         Some(handle) => handle,
-        // No actor and no lease for a name that nobody configured.
+        // Do not start an actor or claim a lease for a trainer that is not configured.
         None if !is_configured(ctx, &key) => {
             return Err(wire_keeper_refusal(&KeeperRefusal::NotInPool {
                 pool: key.pool,
@@ -175,23 +181,23 @@
     Ok((handle, StepNumber::new(step.step), FencingToken::new(step.seen)))
 }
 
-/// Asks the keeper, and again on each change while it is still claiming its lease.
-async fn ask_until_kept<M, T>(
-    served: &Served<'_>,
+/// Sends a message to the keeper, retrying on each change while it is claiming its lease.
+async fn ask_keeper<M, T>(
+    incoming: &IncomingRequest<'_>,
     handle: &KeeperHandle,
     message: impl Fn() -> M,
-) -> Answer<T>
+) -> ServeResult<T>
 where
     M: Send + 'static,
     T: Send + 'static,
     KeeperActor: Message<M, Reply = Result<T, KeeperRefusal>>,
 {
     let mut changes = handle.changes.clone();
-    let deadline = time::Instant::now() + served.time_left.saturating_sub(ANSWER_TIME);
+    let deadline = time::Instant::now() + incoming.time_left.saturating_sub(RESPONSE_TIME_RESERVE);
     loop {
         changes.borrow_and_update();
         let refusal = match handle.actor.ask(message()).await {
-            Ok(answer) => return Ok(answer),
+            Ok(reply) => return Ok(reply),
             Err(SendError::HandlerError(refusal)) => refusal,
             Err(_) => return Err(stopping()),
         };
@@ -200,67 +206,75 @@
         if !claiming {
             return Err(wire_keeper_refusal(&refusal));
         }
-        let news = time::timeout_at(deadline, changes.changed()).await;
-        if !matches!(news, Ok(Ok(()))) {
+        let change = time::timeout_at(deadline, changes.changed()).await;
+        if !matches!(change, Ok(Ok(()))) {
             return Err(wire_keeper_refusal(&refusal));
         }
     }
 }
 
-async fn pull_when_ready(served: &Served<'_>, pull: peer::PullStep) -> Answer<Pulled> {
-    let (handle, step, seen) = keeper(served, pull.step.as_ref())?;
-    let most = usize::try_from(pull.max_samples).unwrap_or(MOST_SAMPLES).clamp(1, MOST_SAMPLES);
-    let pull_of = Pull { held: SlotSet::from_bytes(pull.held), seen, most };
+async fn pull_when_ready(
+    incoming: &IncomingRequest<'_>,
+    pull: peer::PullStep,
+) -> ServeResult<PullReply> {
+    let (handle, step, seen) = keeper(incoming, pull.step.as_ref())?;
+    let most = usize::try_from(pull.max_samples).unwrap_or(MAX_SAMPLES).clamp(1, MAX_SAMPLES);
+    let pull_request = Pull { held: SlotSet::from_bytes(pull.held), seen, most };
     let mut changes = handle.changes.clone();
     let wait = Duration::from_millis(pull.wait_ms);
-    let wait = wait.min(served.time_left.saturating_sub(ANSWER_TIME));
+    let wait = wait.min(incoming.time_left.saturating_sub(RESPONSE_TIME_RESERVE));
     let started = time::Instant::now();
-    // What the trainer waits for is what was missing when it asked.
-    let mut asked_for = None;
+    // Report the cause that applied when the pull arrived.
+    let mut first_cause = None;
     loop {
         changes.borrow_and_update();
-        let pulled = ask_until_kept(served, &handle, || PullStep { step, pull: pull_of.clone() });
+        let pulled =
+            ask_keeper(incoming, &handle, || PullStep { step, pull: pull_request.clone() });
         let mut pulled = pulled.await?;
-        let cause = asked_for.get_or_insert(pulled.state.progress.cause);
+        let cause = first_cause.get_or_insert(pulled.state.progress.cause);
         pulled.state.progress.cause = *cause;
-        if pulled.answer_now {
+        if pulled.respond_now {
             let waited = started.elapsed().as_secs_f64();
-            served.ctx.metrics.pull_wait_seconds.observe(waited);
+            incoming.ctx.metrics.pull_wait_seconds.observe(waited);
             return Ok(pulled);
         }
-        let news = tokio::select! {
-            () = served.cancel.cancelled() => return Ok(pulled),
-            news = time::timeout_at(started + wait, changes.changed()) => news,
+        let change = tokio::select! {
+            () = incoming.cancel.cancelled() => return Ok(pulled),
+            change = time::timeout_at(started + wait, changes.changed()) => change,
         };
-        if !matches!(news, Ok(Ok(()))) {
+        if !matches!(change, Ok(Ok(()))) {
             return Ok(pulled);
         }
     }
 }
 
-async fn send_pulled(served: &Served<'_>, pulled: &Pulled, mut sink: ResponseSink) {
+async fn send_pulled(incoming: &IncomingRequest<'_>, pulled: &PullReply, mut sink: ResponseSink) {
     for sample in &pulled.out.samples {
         let body = response_item::Body::Sample(sample_item(sample));
         if !sink.item(ResponseItem { body: Some(body) }).await {
             return;
         }
     }
-    let state = state_item(served, &pulled.state);
+    let state = state_item(incoming, &pulled.state);
     sink.item(state).await;
     sink.end(ResponseEnd::default()).await;
 }
 
-async fn answer_state(served: &Served<'_>, answered: Answer<KeptState>, mut sink: ResponseSink) {
-    match answered {
+async fn send_state(
+    incoming: &IncomingRequest<'_>,
+    result: ServeResult<KeptState>,
+    mut sink: ResponseSink,
+) {
+    match result {
         Ok(state) => {
-            sink.item(state_item(served, &state)).await;
+            sink.item(state_item(incoming, &state)).await;
             sink.end(ResponseEnd::default()).await;
         }
         Err(refused) => sink.refuse(refused).await,
     }
 }
 
-fn state_item(served: &Served<'_>, state: &KeptState) -> ResponseItem {
+fn state_item(incoming: &IncomingRequest<'_>, state: &KeptState) -> ResponseItem {
     let progress = state.progress;
     let body = response_item::Body::StepState(StepState {
         token: state.token.get(),
@@ -275,7 +289,7 @@
         wanted: progress.wanted as u64,
         discarded: progress.discarded,
         cause: progress.cause.name().to_owned(),
-        keeper: served.ctx.me.id.to_string(),
+        keeper: incoming.ctx.me.id.to_string(),
     });
     ResponseItem { body: Some(body) }
 }
--- a/crates/gannetwayd/src/serve/target.rs
+++ b/crates/gannetwayd/src/serve/target.rs
@@ -1,7 +1,7 @@
-//! Requests for a target, at its home.
+//! Handles requests for a target at its home.
 //!
-//! A box of the target's domain that is not the home passes the request on, once. The home
-//! admits it, sends it to the target once, and passes the answer back piece by piece.
+//! A box of the target's domain that is not the home forwards the request, at most once. The home
+//! admits it, sends it to the target once, and streams the response back.
 
 use std::time::Duration;
 
@@ -21,78 +21,88 @@
 };
 use wire::{ConvertError, parse_id};
 
-use crate::context::{BoxContext, Place, wire_millis};
+use crate::context::{BoxContext, BoxLocation, wire_millis};
 use crate::home::{
-    AskPlace, BeginOrder, EndOrder, EndPlace, HomeActor, HomeHandle, PlaceAnswer, QueryHome,
-    StampContradicted, reading,
+    BeginOrder, EndOrder, HomeActor, HomeHandle, PermitResponse, QueryHome, ReleasePermit,
+    RequestPermit, StampContradicted, reading,
 };
-use crate::peer::Served;
+use crate::peer::IncomingRequest;
 use crate::refuse::{
     wire_bad_request, wire_call_error, wire_not_run, wire_refusal, wire_target_error,
 };
-use crate::route::home_place;
+use crate::route::home_location;
 
-/// Longest silence of a home that a passed-on request waits for.
-const PASS_SILENCE: Duration = Duration::from_secs(8);
-/// What a caller is told to wait when a target is not known here.
-const UNKNOWN_RETRY: Duration = Duration::from_secs(1);
+/// Minimum idle timeout for the response to a forwarded request.
+const FORWARD_IDLE_TIMEOUT: Duration = Duration::from_secs(8);
+/// Retry delay reported to callers when a target is not in the list.
+const UNKNOWN_TARGET_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-type Answer<T> = Result<T, Refused>;
+type ServeResult<T> = Result<T, Refused>;
 
-/// A place at a target, given back when dropped.
-struct HeldPlace {
+/// A permit to run at a target, released when dropped.
+struct TargetPermit {
     home: ActorRef<HomeActor>,
     ticket: TicketId,
     tokens: u32,
-    /// Where the word is sent from; a drop may come outside of any runtime.
+    /// Runtime that sends the release message, since a drop may happen outside of any runtime.
     traffic: Handle,
 }
 
-impl Drop for HeldPlace {
+impl Drop for TargetPermit {
     fn drop(&mut self) {
-        let end = EndPlace { ticket: self.ticket, tokens: TokenCount::new(self.tokens) };
+        let end = ReleasePermit { ticket: self.ticket, tokens: TokenCount::new(self.tokens) };
         let home = self.home.clone();
-        // A full mailbox must not lose the place, so the word may have to wait for room.
+        // Wait for mailbox capacity in a task, so that the permit is always released.
         self.traffic.spawn(async move { home.tell(end).await.ok() });
     }
 }
 
-/// The target's record, if this box may serve it.
-fn record(ctx: &BoxContext, target: &str) -> Answer<TargetRecord> {
+/// Returns the target's record if the target is in this box's domain.
+fn record(ctx: &BoxContext, target: &str) -> ServeResult<TargetRecord> {
     let id: TargetId = parse_id(target).map_err(|error| wire_bad_request(error.to_string()))?;
     let record = ctx.documents.borrow().target(&id).cloned();
-    let record = record.ok_or_else(|| wire_not_run(NotRun::Unknown, UNKNOWN_RETRY))?;
+    let record = record.ok_or_else(|| wire_not_run(NotRun::Unknown, UNKNOWN_TARGET_RETRY_DELAY))?;
     if record.domain != ctx.me.domain {
-        // Only boxes of the target's own domain reach it.
-        return Err(wire_not_run(NotRun::Unreachable, UNKNOWN_RETRY));
+        // Targets are reachable only from boxes of their own domain.
+        return Err(wire_not_run(NotRun::Unreachable, UNKNOWN_TARGET_RETRY_DELAY));
     }
     Ok(record)
 }
 
-/// Where the request must be passed on to, unless this box is the home or it was passed once.
-fn elsewhere(ctx: &BoxContext, record: &TargetRecord, forwarded: bool) -> Option<Place> {
+/// Returns the box to forward the request to, unless this box is the home or the request was
+/// already forwarded.
+fn forward_location(
+    ctx: &BoxContext,
+    record: &TargetRecord,
+    forwarded: bool,
+) -> Option<BoxLocation> {
     if forwarded {
         return None;
     }
-    home_place(ctx, record).filter(|place| *place != Place::Here)
+    home_location(ctx, record).filter(|location| *location != BoxLocation::Here)
 }
 
-/// Passes a request on to the home and its answer back.
-async fn pass_on(served: &Served<'_>, place: &Place, body: request::Body, mut sink: ResponseSink) {
+/// Forwards a request to the home and streams the response back.
+async fn forward(
+    incoming: &IncomingRequest<'_>,
+    location: &BoxLocation,
+    body: request::Body,
+    mut sink: ResponseSink,
+) {
     let request = Request {
-        request_id: served.request_id.clone(),
-        traceparent: served.traceparent.clone(),
-        time_left_ms: wire_millis(served.time_left),
+        request_id: incoming.request_id.clone(),
+        traceparent: incoming.traceparent.clone(),
+        time_left_ms: wire_millis(incoming.time_left),
         body: Some(body),
     };
-    let mut stream = match served.ctx.call(place, request).await {
+    let mut stream = match incoming.ctx.call(location, request).await {
         Ok(stream) => stream,
         Err(error) => return sink.refuse(wire_call_error(error)).await,
     };
     loop {
         let next = tokio::select! {
-            () = served.cancel.cancelled() => return,
-            next = stream.next(PASS_SILENCE.max(served.time_left)) => next,
+            () = incoming.cancel.cancelled() => return,
+            next = stream.next(FORWARD_IDLE_TIMEOUT.max(incoming.time_left)) => next,
         };
         match next {
             Ok(Some(item)) => {
@@ -106,27 +116,27 @@
     }
 }
 
-/// Waits for a place at the target.
-async fn place_at(
-    served: &Served<'_>,
+/// Waits for a permit to run at the target.
+async fn acquire_permit(
+    incoming: &IncomingRequest<'_>,
     home: &HomeHandle,
     ask: AdmissionRequest,
-) -> Answer<HeldPlace> {
-    let answer = home.actor.ask(AskPlace(ask)).await;
+) -> ServeResult<TargetPermit> {
+    let answer = home.actor.ask(RequestPermit(ask)).await;
     let held = |ticket| {
-        let traffic = served.ctx.traffic.clone();
-        HeldPlace { home: home.actor.clone(), ticket, tokens: 0, traffic }
+        let traffic = incoming.ctx.traffic.clone();
+        TargetPermit { home: home.actor.clone(), ticket, tokens: 0, traffic }
     };
     let refusal = match answer {
-        Ok(PlaceAnswer::Go(ticket)) => return Ok(held(ticket)),
-        Ok(PlaceAnswer::Refused(refusal)) => refusal,
-        Ok(PlaceAnswer::Wait(ticket, word)) => {
-            // Held already while waiting, so that a caller who goes away leaves the queue.
-            let place = held(ticket);
+        Ok(PermitResponse::Admitted(ticket)) => return Ok(held(ticket)),
+        Ok(PermitResponse::Refused(refusal)) => refusal,
+        Ok(PermitResponse::Queued(ticket, outcome)) => {
+            // Create the guard before waiting, so that a cancelled request leaves the queue.
+            let permit = held(ticket);
             tokio::select! {
-                () = served.cancel.cancelled() => Refusal::not_run(NotRun::Expired, Duration::ZERO),
-                word = word => match word {
-                    Ok(Ok(())) => return Ok(place),
+                () = incoming.cancel.cancelled() => Refusal::not_run(NotRun::Expired, Duration::ZERO),
+                outcome = outcome => match outcome {
+                    Ok(Ok(())) => return Ok(permit),
                     Ok(Err(refusal)) => refusal,
                     Err(_stopped) => Refusal::not_run(NotRun::Stopping, Duration::ZERO),
                 },
@@ -147,70 +157,74 @@
     })
 }
 
-fn deadline(served: &Served<'_>) -> Moment {
-    served.ctx.clock.now() + served.time_left
+fn deadline(incoming: &IncomingRequest<'_>) -> Moment {
+    incoming.ctx.clock.now() + incoming.time_left
 }
 
 /// Generates one sample.
-pub async fn generate(served: &Served<'_>, generate: peer::Generate, mut sink: ResponseSink) {
-    let record = match record(served.ctx, &generate.target) {
+pub async fn generate(
+    incoming: &IncomingRequest<'_>,
+    generate: peer::Generate,
+    mut sink: ResponseSink,
+) {
+    let record = match record(incoming.ctx, &generate.target) {
         Ok(record) => record,
         Err(refused) => return sink.refuse(refused).await,
     };
-    if let Some(place) = elsewhere(served.ctx, &record, generate.forwarded) {
+    if let Some(location) = forward_location(incoming.ctx, &record, generate.forwarded) {
         let body = request::Body::Generate(peer::Generate { forwarded: true, ..generate });
-        return pass_on(served, &place, body, sink).await;
+        return forward(incoming, &location, body, sink).await;
     }
-    match generate_here(served, &record, generate, &mut sink).await {
+    match generate_here(incoming, &record, generate, &mut sink).await {
         Ok(end) => sink.end(end).await,
         Err(refused) => sink.refuse(refused).await,
     }
 }
 
 async fn generate_here(
-    served: &Served<'_>,
+    incoming: &IncomingRequest<'_>,
     record: &TargetRecord,
     generate: peer::Generate,
     sink: &mut ResponseSink,
-) -> Answer<ResponseEnd> {
+) -> ServeResult<ResponseEnd> {
     let bad = |error: ConvertError| wire_bad_request(error.to_string());
-    let request_id: RequestId = parse_id(&served.request_id).map_err(bad)?;
+    let request_id: RequestId = parse_id(&incoming.request_id).map_err(bad)?;
     let trainer = parse_id(&generate.trainer).map_err(bad)?;
-    let home = served.ctx.homes.home(served.ctx, record);
+    let home = incoming.ctx.homes.home(incoming.ctx, record);
     let ask = AdmissionRequest {
         trainer: Some(trainer),
         window: Some(VersionWindow {
             floor: ids::ModelVersion::new(generate.floor),
             named: ids::ModelVersion::new(generate.named),
         }),
-        deadline: deadline(served),
+        deadline: deadline(incoming),
     };
-    let mut place = place_at(served, &home, ask).await?;
+    let mut permit = acquire_permit(incoming, &home, ask).await?;
     if let Some(load) = load_of(&home).await {
         sink.item(ResponseItem { body: Some(response_item::Body::Load(load)) }).await;
     }
-    let engine = EngineClient::new(&record.address, served.ctx.traffic_http.clone());
+    let engine = EngineClient::new(&record.address, incoming.ctx.traffic_http.clone());
     let order = GenerateRequest {
         request_id: request_id.clone(),
         prompt: generate.prompt,
         max_tokens: TokenCount::new(generate.max_tokens),
         seed: generate.seed,
     };
-    let started = engine.generate(&order, &served.traceparent).await;
+    let started = engine.generate(&order, &incoming.traceparent).await;
     let mut stream = started.map_err(|error| wire_target_error(&error))?;
     loop {
         let line = tokio::select! {
-            () = served.cancel.cancelled() => {
-                // An engine that cannot be told works in vain for a while; nothing breaks.
-                let _untold = engine.cancel(&request_id).await;
+            () = incoming.cancel.cancelled() => {
+                // Best effort: if this fails, the engine only does unneeded work.
+                let _cancelled = engine.cancel(&request_id).await;
                 return Err(wire_refusal(&Refusal::Unknown, None));
             }
             line = stream.next() => line.map_err(|error| wire_target_error(&error))?,
         };
         match line {
             EngineLine::Chunk { index, tokens, version, incarnation, text } => {
-                place.tokens += tokens.get();
-                note_contradiction(&home, version);
+                permit.tokens += tokens.get();
+                report_contradiction(&home, version);
                 let chunk = Chunk {
                     index,
                     tokens: tokens.get(),
@@ -227,28 +241,28 @@
     }
 }
 
-/// A stamp other than the version believed in puts the replica in doubt until it is read.
-fn note_contradiction(home: &HomeHandle, stamp: Option<ids::ModelVersion>) {
-    let believed = *home.status.borrow();
-    let ReplicaStatus::Serving(version) = believed else { return };
+/// Marks the replica as in doubt when a chunk's version differs from the expected version.
+fn report_contradiction(home: &HomeHandle, stamp: Option<ids::ModelVersion>) {
+    let expected = *home.status.borrow();
+    let ReplicaStatus::Serving(version) = expected else { return };
     if stamp == Some(version) {
         return;
     }
-    // A full mailbox holds a reading already, which settles the doubt as well.
+    // If the mailbox is full, it already contains a reading, which resolves the doubt as well.
     let _busy = home.actor.tell(StampContradicted).try_send();
 }
 
 /// Sends a plain request, once.
-pub async fn plain(served: &Served<'_>, call: peer::PlainCall, mut sink: ResponseSink) {
-    let record = match record(served.ctx, &call.target) {
+pub async fn plain(incoming: &IncomingRequest<'_>, call: peer::PlainCall, mut sink: ResponseSink) {
+    let record = match record(incoming.ctx, &call.target) {
         Ok(record) => record,
         Err(refused) => return sink.refuse(refused).await,
     };
-    if let Some(place) = elsewhere(served.ctx, &record, call.forwarded) {
+    if let Some(location) = forward_location(incoming.ctx, &record, call.forwarded) {
         let body = request::Body::PlainCall(peer::PlainCall { forwarded: true, ..call });
-        return pass_on(served, &place, body, sink).await;
+        return forward(incoming, &location, body, sink).await;
     }
-    match plain_here(served, &record, call).await {
+    match plain_here(incoming, &record, call).await {
         Ok(part) => {
             sink.item(ResponseItem { body: Some(response_item::Body::PlainPart(part)) }).await;
             sink.end(ResponseEnd::default()).await;
@@ -258,24 +272,24 @@
 }
 
 async fn plain_here(
-    served: &Served<'_>,
+    incoming: &IncomingRequest<'_>,
     record: &TargetRecord,
     call: peer::PlainCall,
-) -> Answer<PlainPart> {
+) -> ServeResult<PlainPart> {
     let request_id: RequestId =
-        parse_id(&served.request_id).map_err(|error| wire_bad_request(error.to_string()))?;
-    let home = served.ctx.homes.home(served.ctx, record);
-    let ask = AdmissionRequest { trainer: None, window: None, deadline: deadline(served) };
-    let _place = place_at(served, &home, ask).await?;
-    let client = PlainClient::new(&record.address, served.ctx.traffic_http.clone());
+        parse_id(&incoming.request_id).map_err(|error| wire_bad_request(error.to_string()))?;
+    let home = incoming.ctx.homes.home(incoming.ctx, record);
+    let ask = AdmissionRequest { trainer: None, window: None, deadline: deadline(incoming) };
+    let _permit = acquire_permit(incoming, &home, ask).await?;
+    let client = PlainClient::new(&record.address, incoming.ctx.traffic_http.clone());
     let request = PlainRequest {
         request_id,
         method: call.method,
         path: call.path,
         body: call.body,
-        timeout: served.time_left,
+        timeout: incoming.time_left,
     };
-    let answer = client.call(&request, &served.traceparent).await;
+    let answer = client.call(&request, &incoming.traceparent).await;
     let answer = answer.map_err(|error| wire_target_error(&error))?;
     Ok(PlainPart {
         status: u32::from(answer.status),
@@ -284,23 +298,23 @@
     })
 }
 
-/// Has a sample judged.
-pub async fn score(served: &Served<'_>, score: peer::Score, mut sink: ResponseSink) {
-    let record = match record(served.ctx, &score.target) {
+/// Scores a sample.
+pub async fn score(incoming: &IncomingRequest<'_>, score: peer::Score, mut sink: ResponseSink) {
+    let record = match record(incoming.ctx, &score.target) {
         Ok(record) => record,
         Err(refused) => return sink.refuse(refused).await,
     };
-    if let Some(place) = elsewhere(served.ctx, &record, score.forwarded) {
+    if let Some(location) = forward_location(incoming.ctx, &record, score.forwarded) {
         let body = request::Body::Score(peer::Score { forwarded: true, ..score });
-        return pass_on(served, &place, body, sink).await;
+        return forward(incoming, &location, body, sink).await;
     }
-    let home = served.ctx.homes.home(served.ctx, &record);
-    let ask = AdmissionRequest { trainer: None, window: None, deadline: deadline(served) };
-    let _place = match place_at(served, &home, ask).await {
-        Ok(place) => place,
+    let home = incoming.ctx.homes.home(incoming.ctx, &record);
+    let ask = AdmissionRequest { trainer: None, window: None, deadline: deadline(incoming) };
+    let _permit = match acquire_permit(incoming, &home, ask).await {
+        Ok(permit) => permit,
         Err(refused) => return sink.refuse(refused).await,
     };
-    let client = PlainClient::new(&record.address, served.ctx.traffic_http.clone());
+    let client = PlainClient::new(&record.address, incoming.ctx.traffic_http.clone());
     let request = ScoreRequest { prompt: score.prompt, text: score.text };
     match client.score(&request).await {
         Ok(answer) => {
@@ -312,24 +326,24 @@
     }
 }
 
-/// Orders the engine to load a version, and notes at the home that it may change.
-pub async fn order(served: &Served<'_>, order: peer::SwapOrder, mut sink: ResponseSink) {
-    let record = match record(served.ctx, &order.target) {
+/// Orders the engine to load a version, and announces the order to the home.
+pub async fn order(incoming: &IncomingRequest<'_>, order: peer::SwapOrder, mut sink: ResponseSink) {
+    let record = match record(incoming.ctx, &order.target) {
         Ok(record) => record,
         Err(refused) => return sink.refuse(refused).await,
     };
-    let home = served.ctx.homes.home(served.ctx, &record);
+    let home = incoming.ctx.homes.home(incoming.ctx, &record);
     let version = ids::ModelVersion::new(order.version);
-    let life = Duration::from_millis(order.life_ms).min(served.time_left);
-    let begin = BeginOrder { version, deadline: served.ctx.clock.now() + life };
+    let life = Duration::from_millis(order.life_ms).min(incoming.time_left);
+    let begin = BeginOrder { version, deadline: incoming.ctx.clock.now() + life };
     if home.actor.ask(begin).await.is_err() {
-        return sink.refuse(wire_not_run(NotRun::Stopping, UNKNOWN_RETRY)).await;
+        return sink.refuse(wire_not_run(NotRun::Stopping, UNKNOWN_TARGET_RETRY_DELAY)).await;
     }
-    let engine = EngineClient::new(&record.address, served.ctx.control_http.clone());
+    let engine = EngineClient::new(&record.address, incoming.ctx.control_http.clone());
     let request =
         OrderRequest { version, token: FencingToken::new(order.token), life_ms: wire_millis(life) };
     let outcome = order_outcome(engine.order(&request).await);
-    // The actor is gone only when the box stops.
+    // Sending fails only when the box stops.
     let _stopped = home.actor.ask(EndOrder { version, outcome }).await;
     let outcome = match outcome {
         OrderOutcome::Done => peer::OrderOutcome::Done,
@@ -350,13 +364,13 @@
     }
 }
 
-/// Reads the engine's state now.
-pub async fn read(served: &Served<'_>, read: peer::ReadReplica, mut sink: ResponseSink) {
-    let record = match record(served.ctx, &read.target) {
+/// Reads the engine's current state.
+pub async fn read(incoming: &IncomingRequest<'_>, read: peer::ReadReplica, mut sink: ResponseSink) {
+    let record = match record(incoming.ctx, &read.target) {
         Ok(record) => record,
         Err(refused) => return sink.refuse(refused).await,
     };
-    let engine = EngineClient::new(&record.address, served.ctx.control_http.clone());
+    let engine = EngineClient::new(&record.address, incoming.ctx.control_http.clone());
     match engine.state().await {
         Ok(state) => {
             let reading = reading(&state);
--- a/crates/gannetwayd/src/settings.rs
+++ b/crates/gannetwayd/src/settings.rs
@@ -113,11 +113,11 @@
 
 /// Gathers faults while settings are read.
 #[derive(Default)]
-struct Checker {
+struct SettingsChecker {
     faults: Vec<String>,
 }
 
-impl Checker {
+impl SettingsChecker {
     fn parse<T: FromStr>(&mut self, flag: &str, text: &str, remedy: &str) -> Option<T> {
         let parsed = text.trim().parse().ok();
         if parsed.is_none() {
@@ -173,7 +173,7 @@
 impl RawSettings {
     /// Checks every value; reports all faults together.
     pub fn check(self) -> Result<Settings, SettingsError> {
-        let mut checker = Checker::default();
+        let mut checker = SettingsChecker::default();
         let settings = self.read(&mut checker);
         match settings {
             Some(settings) if checker.faults.is_empty() => Ok(settings),
@@ -181,7 +181,7 @@
         }
     }
 
-    fn read(self, checker: &mut Checker) -> Option<Settings> {
+    fn read(self, checker: &mut SettingsChecker) -> Option<Settings> {
         let id_remedy = "use 1 to 64 characters from a-z, A-Z, 0-9, `-`, `_` and `.`";
         let box_id = checker.parse("box-id", &self.box_id, id_remedy);
         let domain = checker.parse("domain", &self.domain, id_remedy);
--- a/crates/gannetwayd/src/trace.rs
+++ b/crates/gannetwayd/src/trace.rs
@@ -78,7 +78,7 @@
     }
 
     /// Notes a fact about the hop.
-    pub fn note(&self, key: &'static str, value: impl Into<opentelemetry::Value>) {
+    pub fn set_attribute(&self, key: &'static str, value: impl Into<opentelemetry::Value>) {
         self.context.span().set_attribute(KeyValue::new(key, value));
     }
 }
