--- a/crates/gannetwayd/src/apply.rs
+++ b/crates/gannetwayd/src/apply.rs
@@ -1,4 +1,4 @@
-//! Writes a change of configuration: accepted means confirmed.
+//! Applies configuration changes. A change is accepted only when its write is confirmed.
 
 use std::time::Duration;
 
@@ -11,15 +11,15 @@
 
 use crate::documents::CONFIG_NAME;
 
-/// Tries before a change is given back as not accepted.
+/// Maximum number of attempts to write a change.
 const MAX_WRITE_ATTEMPTS: u32 = 8;
-/// Most of the pause between tries, in milliseconds.
+/// Maximum delay between attempts, in milliseconds.
 const MAX_RETRY_DELAY_MS: u64 = 100;
 
-/// What came of a change.
+/// An accepted change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AppliedChange {
-    /// The configuration that holds it.
+    /// The configuration that contains the change.
     pub config: FleetConfig,
 }
 
@@ -29,7 +29,7 @@
 }
 
 /// Adds or replaces a pool. With `if_generation`, a pool changed after that generation is a
-/// conflict. `write_id` names the change; a repeat under the same id is harmless.
+/// conflict. `write_id` is the idempotency key of the change.
 pub async fn apply_pool(
     store: &impl ObjectStore,
     spec: PoolSpec,
@@ -51,7 +51,7 @@
     }
     let kind = if maybe_written { ErrorKind::Unknown } else { ErrorKind::NotRun };
     let message =
-        format!("the change was not confirmed ({last_error}): apply it again, which is harmless");
+        format!("the change was not confirmed ({last_error}): apply it again, which is safe");
     Err(ErrorBody::new(kind, message))
 }
 
@@ -70,14 +70,14 @@
         Err(error) => return Ok(AttemptResult::Retry(error)),
     };
     if let Some(entry) = current.pools.get(&spec.name) {
-        // An earlier try took effect and its answer was lost.
+        // An earlier attempt took effect, but its response was lost.
         if entry.write_id == write_id {
             return Ok(AttemptResult::Accepted(current));
         }
         if if_generation.is_some_and(|seen| entry.changed > seen) {
             let message = format!(
-                "pool {} was changed in generation {} by somebody else (write {}): look at it, \
-                 then apply again",
+                "pool {} was changed in generation {} by another write ({}): review it, then \
+                 apply the change again",
                 spec.name, entry.changed, entry.write_id
             );
             return Err(ErrorBody::new(ErrorKind::Conflict, message));
--- a/crates/gannetwayd/src/daemon.rs
+++ b/crates/gannetwayd/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts a box, runs it, and stops it without cutting requests.
+//! Starts a box and stops it gracefully.
 
 use std::io::{self, Write};
 use std::net::SocketAddr;
@@ -30,19 +30,19 @@
 use crate::settings::Settings;
 use crate::trace::HopTracer;
 
-/// Time between looks at what a planned stop still waits for.
+/// Interval at which a planned stop checks for remaining work.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Share of the drain limit that attempts at samples may take, as one part in this many.
+/// Divisor of the drain limit that gives the time for attempts in flight to finish.
 const ATTEMPT_DRAIN_DIVISOR: u32 = 3;
-/// Longest wait for a successor's answer.
+/// Timeout for the successor's response.
 const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A running box.
 #[derive(Debug)]
 pub struct RunningBox {
-    /// Its parts.
+    /// State shared by all parts of the box.
     pub ctx: BoxContext,
-    /// Where callers come in.
+    /// Bound address for callers.
     pub caller_address: SocketAddr,
     http: HttpState,
     members: ActorRef<MemberActor>,
@@ -50,7 +50,7 @@
     stop_http: CancellationToken,
 }
 
-/// Binds the box's addresses and starts all its parts. Call it on the traffic runtime;
+/// Binds the box's addresses and starts all its parts. Must be called on the traffic runtime;
 /// `control` is the runtime of the control thread.
 pub async fn start_box(
     settings: Settings,
@@ -118,7 +118,7 @@
     Ok(RunningBox { ctx, caller_address, http, members, coordinator, stop_http })
 }
 
-/// One line on standard output, for whoever started the box on free ports.
+/// Prints the bound addresses to standard output, for processes that start a box on free ports.
 fn print_addresses(ctx: &BoxContext, callers: SocketAddr, bound: SocketAddr) -> io::Result<()> {
     let mut out = io::stdout().lock();
     writeln!(out, "listening {callers} peers {} bound {bound}", ctx.me.address)?;
@@ -126,14 +126,15 @@
 }
 
 impl RunningBox {
-    /// Stops the box as planned: says so, hands its duties over, finishes what is in flight.
-    /// Gives the number of requests cut, which is zero unless the limit ran out.
+    /// Stops the box gracefully: announces the stop, hands over its steps and waits for requests
+    /// in flight. Returns the number of aborted requests, which is zero unless the time limit was
+    /// reached.
     pub async fn stop(self) -> usize {
         let ctx = &self.ctx;
         let limit = time::Instant::now() + ctx.settings.drain_notice + ctx.settings.drain_limit;
         log::info!(target: "box", id:% = ctx.me.id; "leaving");
         ctx.leaving.cancel();
-        // Actors are gone only when the box has stopped.
+        // Sending fails only when the box has stopped.
         let _gone = self.members.tell(LeaveFleet).await;
         let _gone = self.coordinator.tell(ReleaseRollouts).await;
         let attempts_until =
@@ -154,7 +155,7 @@
         futures::future::join_all(each).await;
     }
 
-    /// Waits for attempts under way, then gives the steps to a successor.
+    /// Waits for attempts in flight, then hands the steps over to a successor.
     async fn hand_over(&self, key: &KeeperKey, handle: &KeeperHandle, until: time::Instant) {
         let adopt = loop {
             let force = time::Instant::now() >= until;
@@ -173,7 +174,7 @@
                 .map(|record| ctx.location_of(record))
         };
         let Some(location) = successor.filter(|location| *location != BoxLocation::Here) else {
-            log::warn!(target: "keeper", trainer:% = key; "no successor, the trainer opens its steps again");
+            log::warn!(target: "keeper", trainer:% = key; "no successor; the trainer must reopen its steps");
             return;
         };
         let snapshots =
@@ -194,7 +195,7 @@
                 log::info!(target: "keeper", trainer:% = key, to:? = location; "steps handed over");
             }
             Err(error) => {
-                log::warn!(target: "keeper", trainer:% = key, error:% = error; "hand-over failed, the trainer opens its steps again");
+                log::warn!(target: "keeper", trainer:% = key, error:% = error; "hand-over failed; the trainer must reopen its steps");
             }
         }
     }
--- a/crates/gannetwayd/src/http/commands.rs
+++ b/crates/gannetwayd/src/http/commands.rs
@@ -1,4 +1,4 @@
-//! Requests that change something.
+//! Handlers of requests that change state.
 
 use std::time::Duration;
 
@@ -21,20 +21,20 @@
 use crate::documents::OfferConfig;
 use crate::http::HttpState;
 use crate::http::response::{
-    Failure, FullBody, http_span, json_with_digest, read_json, read_value, require_key,
+    ApiError, FullBody, http_span, json_with_digest, read_json, read_value, require_key,
 };
 use crate::keeper::KeeperKey;
 use crate::route::StepResponse;
 
-/// Time for a request about a step, beside a pull's own wait: one try and a second look. A
-/// trainer that finds no keeper is told so, and asks again, perhaps at another box.
+/// Timeout of a request about a step, in addition to a pull's own wait. Allows for one call and a
+/// retry; when no keeper is found, the trainer retries, possibly at another box.
 const STEP_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Longest wait of a pull, in milliseconds.
+/// Maximum wait of a pull, in milliseconds.
 const MAX_PULL_WAIT_MS: u64 = 30_000;
 
-type HttpResult = Result<Response, Failure>;
+type HttpResult = Result<Response, ApiError>;
 
-/// A step as named by the path.
+/// Path parameters that identify a step.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StepPath {
     pool: String,
@@ -43,15 +43,15 @@
 }
 
 impl StepPath {
-    fn key(&self) -> Result<KeeperKey, Failure> {
+    fn key(&self) -> Result<KeeperKey, ApiError> {
         Ok(KeeperKey { pool: read_value(&self.pool)?, trainer: read_value(&self.trainer)? })
     }
 
-    fn step(&self) -> Result<StepNumber, Failure> {
+    fn step(&self) -> Result<StepNumber, ApiError> {
         read_value(&self.step)
     }
 
-    fn step_ref(&self, seen: FencingToken) -> Result<StepRef, Failure> {
+    fn step_ref(&self, seen: FencingToken) -> Result<StepRef, ApiError> {
         Ok(StepRef {
             pool: self.pool.clone(),
             trainer: self.trainer.clone(),
@@ -87,7 +87,7 @@
     json_with_digest(&step_state(response.state)?)
 }
 
-/// Pulls samples.
+/// Pulls finished samples of a step.
 pub async fn pull_step(
     State(state): State<HttpState>,
     Path(path): Path<StepPath>,
@@ -104,11 +104,11 @@
     });
     let wait = Duration::from_millis(wait_ms);
     let response = call_keeper(&state, &path, &headers, body, wait).await?;
-    let samples: Result<Vec<Sample>, Failure> = response.samples.into_iter().map(sample).collect();
+    let samples: Result<Vec<Sample>, ApiError> = response.samples.into_iter().map(sample).collect();
     json_with_digest(&PullResponse { samples: samples?, state: step_state(response.state)? })
 }
 
-/// Names a newer version.
+/// Sets a newer weight version for a step.
 pub async fn advance_step(
     State(state): State<HttpState>,
     Path(path): Path<StepPath>,
@@ -131,14 +131,14 @@
     headers: HeaderMap,
     FullBody(body): FullBody,
 ) -> HttpResult {
-    let held: CloseBody = read_json(&body)?;
-    let step = path.step_ref(held.seen)?;
+    let close: CloseBody = read_json(&body)?;
+    let step = path.step_ref(close.seen)?;
     let body = request::Body::CloseStep(CloseStep { step: Some(step) });
     call_keeper(&state, &path, &headers, body, Duration::ZERO).await?;
     json_with_digest(&serde_json::json!({ "closed": path.step()? }))
 }
 
-/// Tells a step's state; a query, but found by the same way.
+/// Returns the state of a step. A query, but routed to the keeper like the commands.
 pub async fn step_status(state: &HttpState, path: &StepPath, headers: &HeaderMap) -> HttpResult {
     let step = path.step_ref(FencingToken::default())?;
     let body = request::Body::StepStatus(peer::StepStatus { step: Some(step) });
@@ -146,13 +146,13 @@
     json_with_digest(&step_state(response.state)?)
 }
 
-/// What an operator may state along with a pool.
+/// Query parameters of a pool change.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
 pub struct ApplyQuery {
-    /// The generation the operator looked at; a later change of the pool is a conflict.
+    /// Generation that the change is based on; a later change of the pool is a conflict.
     if_generation: Option<Generation>,
-    /// Names the change, so that a repeat is harmless.
+    /// Idempotency key of the change.
     write_id: Option<String>,
 }
 
@@ -175,7 +175,7 @@
     let applied = apply::apply_pool(&state.ctx.store, spec, query.if_generation, &write_id).await?;
     let generation = applied.config.generation;
     log::info!(target: "config", pool:% = pool, generation:% = generation, write:% = write_id; "change accepted");
-    // The actor is gone only when the box stops; the platform has the change by now.
+    // Sending fails only when the box stops; the change is already stored on the platform.
     let _stopped = state.documents.tell(OfferConfig(applied.config)).await;
     json_with_digest(&AppliedBody { generation })
 }
@@ -186,21 +186,22 @@
     headers: &HeaderMap,
     body: request::Body,
     wait: Duration,
-) -> Result<StepResponse, Failure> {
+) -> Result<StepResponse, ApiError> {
     let key = path.key()?;
     let span = http_span(&state.ctx, "http.step", headers);
-    // The directory sets the time left for each try.
+    // The directory sets the time left of each call.
     let request = new_request(body, span.traceparent(), wait + STEP_TIMEOUT);
     let deadline = state.ctx.clock.now() + wait + STEP_TIMEOUT;
     Ok(state.directory.call(&state.ctx, &key, request, wait, deadline).await?)
 }
 
-fn broken(message: &str) -> Failure {
-    Failure(ErrorBody::new(ErrorKind::Unknown, message))
+fn unknown_outcome(message: &str) -> ApiError {
+    ApiError(ErrorBody::new(ErrorKind::Unknown, message))
 }
 
-fn step_state(state: Option<peer::StepState>) -> Result<api::StepState, Failure> {
-    let state = state.ok_or_else(|| broken("the keeper told no state: ask again"))?;
+fn step_state(state: Option<peer::StepState>) -> Result<api::StepState, ApiError> {
+    let state = state
+        .ok_or_else(|| unknown_outcome("the keeper returned no state: send the request again"))?;
     let count = |number: u64| usize::try_from(number).unwrap_or(usize::MAX);
     Ok(api::StepState {
         token: FencingToken::new(state.token),
@@ -223,7 +224,7 @@
     })
 }
 
-fn sample(item: SampleItem) -> Result<Sample, Failure> {
+fn sample(item: SampleItem) -> Result<Sample, ApiError> {
     let spans = item.spans.iter().map(|span| VersionSpan {
         version: ModelVersion::new(span.version),
         tokens: TokenCount::new(span.tokens),
--- a/crates/gannetwayd/src/http/mod.rs
+++ b/crates/gannetwayd/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! The box's HTTP side, for callers, trainers and operators. Commands and queries stand apart.
+//! HTTP API for callers, trainers and operators, split into commands and queries.
 
 mod commands;
 mod plain;
@@ -20,24 +20,24 @@
 use crate::http::plain::PlainRouter;
 use crate::route::KeeperDirectory;
 
-/// Largest body, in bytes; a step of 8,192 samples in groups of 8 with 4 KiB prompts fits.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY: usize = 8 << 20;
 
-/// What the HTTP side needs.
+/// State of the HTTP handlers.
 #[derive(Debug, Clone)]
 pub struct HttpState {
-    /// The box.
+    /// State shared by all parts of the box.
     pub ctx: BoxContext,
-    /// Who keeps which steps.
+    /// Routes requests about steps to their keepers.
     pub directory: KeeperDirectory,
-    /// The box's documents, to be told of changes applied here.
+    /// Receives configuration changes that were applied through this box.
     pub documents: ActorRef<DocumentActor>,
     plain: Arc<PlainRouter>,
     in_flight: Arc<AtomicUsize>,
 }
 
 impl HttpState {
-    /// State without requests in flight.
+    /// Creates the state with no requests in flight.
     pub fn new(ctx: BoxContext, documents: ActorRef<DocumentActor>) -> Self {
         Self {
             ctx,
@@ -48,13 +48,13 @@
         }
     }
 
-    /// Requests in flight, but for those about the box's own health.
+    /// Returns the number of requests in flight, without health, readiness and metrics requests.
     pub fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::Relaxed)
     }
 }
 
-/// The routes.
+/// Builds the router with all routes.
 pub fn router(state: HttpState) -> Router {
     let steps = "/v1/pools/{pool}/trainers/{trainer}/steps/{step}";
     let counted = Router::new()
@@ -77,7 +77,7 @@
         .with_state(state)
 }
 
-/// One request in flight; also counted when its future is dropped.
+/// Counts a request as in flight until dropped.
 struct InFlight(HttpState);
 
 impl InFlight {
--- a/crates/gannetwayd/src/http/plain.rs
+++ b/crates/gannetwayd/src/http/plain.rs
@@ -1,4 +1,4 @@
-//! Plain requests: to one of a service's targets, and again elsewhere only where that is safe.
+//! Plain requests: sent to a target of a service, and retried at another one only if that is safe.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -20,29 +20,30 @@
 
 use crate::context::{BoxContext, new_request_id, wire_millis};
 use crate::http::HttpState;
-use crate::http::response::{Failure, FullBody, http_span, read_value};
+use crate::http::response::{ApiError, FullBody, http_span, read_value};
 use crate::metrics::{CallLabel, CallLabels};
 use crate::refuse::wire_not_run;
 use crate::route::call_home;
 
-/// Time a caller allows unless it says otherwise.
+/// Timeout of a request without a deadline header.
 const DEFAULT_REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest time a caller may allow.
+/// Maximum timeout that a caller may set.
 const MAX_REQUEST_TIMEOUT: Duration = Duration::from_mins(10);
-/// Retries earned by each first attempt, in thousandths.
+/// Retry budget earned per first attempt, in thousandths of a retry.
 const RETRY_THOUSANDTHS: u64 = 100;
-/// Retries held for quiet times.
+/// Minimum retry budget kept for periods of low traffic.
 const RETRY_RESERVE: u64 = 10;
-/// Backoff between attempts.
+/// Backoff between retries.
 const BACKOFF: Backoff = Backoff::new(Duration::from_millis(10), Duration::from_millis(500));
-/// What a caller is told to wait when every target of a service is full or resting.
+/// Retry delay reported to callers when no target of a service is available.
 const BUSY_RETRY_DELAY: Duration = Duration::from_millis(500);
-/// Requests that one box sends to one target at a time; the target's home has the last word.
+/// Maximum number of concurrent requests from this box to one target. The target's home enforces
+/// the limit over all boxes.
 const MAX_CALLS_PER_TARGET: u32 = 256;
-/// Slack beyond the request's own time before a home counts as silent.
+/// Slack added to the request's time left before the call to the home times out.
 const IDLE_TIMEOUT_SLACK: Duration = Duration::from_millis(250);
 
-/// Chooses targets of plain services, by what came of earlier requests.
+/// Chooses targets of plain services by the outcomes of earlier requests.
 #[derive(Debug)]
 pub struct PlainRouter {
     chooser: Mutex<TargetChooser>,
@@ -62,7 +63,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A plain request as it came in.
+/// A plain request being served.
 struct PlainRun<'a> {
     state: &'a HttpState,
     request_id: RequestId,
@@ -72,7 +73,7 @@
     call: PlainCall,
 }
 
-/// Passes a request to a service.
+/// Forwards a request to a service.
 pub async fn call_service(
     State(state): State<HttpState>,
     Path((service, path)): Path<(String, String)>,
@@ -85,7 +86,7 @@
     let answered = serve_call(&state, &service, &path, &method, &uri, (&headers, body)).await;
     let label = match &answered {
         Ok(_) => CallLabel::Answered,
-        Err(Failure(error)) => match error.kind {
+        Err(ApiError(error)) => match error.kind {
             ErrorKind::Unknown => CallLabel::Unknown,
             ErrorKind::NotRun => CallLabel::NotRun,
             _ => CallLabel::BadRequest,
@@ -104,7 +105,7 @@
     method: &Method,
     uri: &Uri,
     (headers, body): (&HeaderMap, Bytes),
-) -> Result<Response, Failure> {
+) -> Result<Response, ApiError> {
     let service: ServiceName = read_value(service)?;
     let span = http_span(&state.ctx, "http.call", headers);
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
@@ -114,7 +115,7 @@
     };
     let repeatable = match text(REPEATABLE_HEADER) {
         Some(flag) => read_value(flag)?,
-        // Methods that HTTP calls safe change nothing, so asking again is harmless.
+        // Safe HTTP methods change nothing and may be repeated.
         None => method.is_safe(),
     };
     let time = match text(DEADLINE_HEADER) {
@@ -141,10 +142,10 @@
     answer(&part, &request_id)
 }
 
-fn answer(part: &PlainPart, request_id: &RequestId) -> Result<Response, Failure> {
+fn answer(part: &PlainPart, request_id: &RequestId) -> Result<Response, ApiError> {
     let status = u16::try_from(part.status).ok().and_then(|code| StatusCode::from_u16(code).ok());
     let status = status.ok_or_else(|| {
-        Failure(ErrorBody::new(ErrorKind::Unknown, "the service answered with no HTTP status"))
+        ApiError(ErrorBody::new(ErrorKind::Unknown, "the service returned an invalid HTTP status"))
     })?;
     let headers = [
         ("content-type", part.content_type.clone()),
@@ -155,8 +156,9 @@
 }
 
 impl PlainRun<'_> {
-    /// Tries targets until one answers, the work may have run, or nothing more is allowed.
-    async fn run_with_retries(&self, service: &ServiceName) -> Result<PlainPart, Failure> {
+    /// Tries targets until one responds, the request may have run, or the retry budget or the
+    /// deadline is exhausted.
+    async fn run_with_retries(&self, service: &ServiceName) -> Result<PlainPart, ApiError> {
         lock(&self.state.plain.budget).record_attempt();
         let mut retry = 0;
         loop {
@@ -182,7 +184,7 @@
         &self.state.ctx
     }
 
-    fn choose(&self, service: &ServiceName) -> Result<TargetId, Failure> {
+    fn choose(&self, service: &ServiceName) -> Result<TargetId, ApiError> {
         let documents = self.ctx().documents.borrow().clone();
         let targets = documents.targets.of_service(service);
         if targets.is_empty() {
@@ -225,7 +227,7 @@
                 lock(&placed.router.chooser).succeeded(target);
                 Ok(part)
             }
-            Ok(_) => Err(CallError::Broken { why: "an answer that is no plain answer" }),
+            Ok(_) => Err(CallError::Broken { why: "response is not a plain response" }),
             Err(error) => {
                 lock(&placed.router.chooser).failed(self.ctx().clock.now(), target);
                 Err(error)
@@ -234,7 +236,7 @@
     }
 }
 
-/// A request placed at a target; taken off its count when dropped.
+/// Counts a request at a target until dropped.
 struct PlacedCall<'a> {
     router: &'a PlainRouter,
     target: &'a TargetId,
--- a/crates/gannetwayd/src/http/queries.rs
+++ b/crates/gannetwayd/src/http/queries.rs
@@ -1,4 +1,4 @@
-//! Requests that only look.
+//! Handlers of read-only requests.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -16,15 +16,15 @@
 use crate::home::QueryHome;
 use crate::http::HttpState;
 use crate::http::commands::{StepPath, step_status};
-use crate::http::response::{Failure, json_with_digest, read_value, require_key};
+use crate::http::response::{ApiError, json_with_digest, read_value, require_key};
 use crate::keeper::QueryKeeper;
 
-/// The process answers.
+/// Liveness probe; succeeds while the process is running.
 pub async fn health() -> &'static str {
     "ok"
 }
 
-/// Whether the balancer may send requests, and what is missing if not.
+/// Readiness probe for the load balancer; lists what the box still waits for.
 pub async fn ready(State(state): State<HttpState>) -> Response {
     let waits_for = waits_for(&state.ctx);
     let status =
@@ -37,38 +37,38 @@
     (status, Json(body)).into_response()
 }
 
-/// The metrics.
+/// Returns the metrics in the exposition format.
 pub async fn metrics(State(state): State<HttpState>) -> Response {
     let media = "application/openmetrics-text; version=1.0.0; charset=utf-8";
     ([("content-type", media)], state.ctx.metrics.encode()).into_response()
 }
 
-/// A step's state.
+/// Returns the state of a step.
 pub async fn step(
     State(state): State<HttpState>,
     Path(path): Path<StepPath>,
     headers: HeaderMap,
-) -> Result<Response, Failure> {
+) -> Result<Response, ApiError> {
     step_status(&state, &path, &headers).await
 }
 
-/// All pools in force here.
+/// Returns all pools of this box's current configuration.
 pub async fn pools(
     State(state): State<HttpState>,
     headers: HeaderMap,
-) -> Result<Response, Failure> {
+) -> Result<Response, ApiError> {
     require_key(&state.ctx, &headers)?;
     let config = Arc::clone(&state.ctx.documents.borrow().config);
     let pools = config.pools.values().cloned().collect();
     json_with_digest(&PoolsBody { generation: config.generation, pools })
 }
 
-/// One pool in force here.
+/// Returns one pool of this box's current configuration.
 pub async fn pool(
     State(state): State<HttpState>,
     Path(pool): Path<String>,
     headers: HeaderMap,
-) -> Result<Response, Failure> {
+) -> Result<Response, ApiError> {
     require_key(&state.ctx, &headers)?;
     let name: PoolName = read_value(&pool)?;
     let config = Arc::clone(&state.ctx.documents.borrow().config);
@@ -79,11 +79,11 @@
     json_with_digest(&PoolsBody { generation: config.generation, pools: vec![entry.clone()] })
 }
 
-/// The box as it sees itself.
+/// Returns this box's status for operators.
 pub async fn status(
     State(state): State<HttpState>,
     headers: HeaderMap,
-) -> Result<Response, Failure> {
+) -> Result<Response, ApiError> {
     require_key(&state.ctx, &headers)?;
     let ctx = &state.ctx;
     let generation = ctx.documents.borrow().config.generation;
@@ -112,7 +112,7 @@
     waits
 }
 
-/// What the box cannot do for now. It stays ready, for it serves the rest.
+/// Lists what the box currently cannot do. It stays ready, since everything else works.
 fn cannot(ctx: &BoxContext) -> Vec<String> {
     let mut cannot = Vec::new();
     if !ctx.platform_available.load(Ordering::Relaxed) {
--- a/crates/gannetwayd/src/http/response.rs
+++ b/crates/gannetwayd/src/http/response.rs
@@ -1,4 +1,4 @@
-//! Answers and refusals over HTTP.
+//! HTTP responses, errors and request parsing.
 
 use api::{DIGEST_HEADER, ErrorBody, ErrorKind};
 use axum::body::Bytes;
@@ -18,23 +18,23 @@
 use crate::refuse::{caller_error, wire_call_error};
 use crate::trace::HopSpan;
 
-/// A refusal on its way to a caller.
+/// An error response to a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Failure(pub ErrorBody);
+pub struct ApiError(pub ErrorBody);
 
-impl From<ErrorBody> for Failure {
+impl From<ErrorBody> for ApiError {
     fn from(body: ErrorBody) -> Self {
         Self(body)
     }
 }
 
-impl From<CallError> for Failure {
+impl From<CallError> for ApiError {
     fn from(error: CallError) -> Self {
         Self(caller_error(&wire_call_error(error), rand::rng().random()))
     }
 }
 
-impl IntoResponse for Failure {
+impl IntoResponse for ApiError {
     fn into_response(self) -> Response {
         let status = match self.0.kind {
             ErrorKind::BadRequest => StatusCode::BAD_REQUEST,
@@ -44,65 +44,65 @@
             ErrorKind::NotRun => StatusCode::SERVICE_UNAVAILABLE,
             ErrorKind::Unknown => StatusCode::BAD_GATEWAY,
         };
-        // The header counts whole seconds; the body has the exact time.
+        // The header has a resolution of one second; the body has milliseconds.
         let seconds = self.0.retry_after_ms.div_ceil(1_000).to_string();
         (status, [(RETRY_AFTER, seconds)], axum::Json(self.0)).into_response()
     }
 }
 
-/// An answer with the digest of its body, so that a cut one is not taken for whole.
-pub fn json_with_digest<T: Serialize>(value: &T) -> Result<Response, Failure> {
+/// Creates a JSON response with a digest of its body, so that clients detect truncation.
+pub fn json_with_digest<T: Serialize>(value: &T) -> Result<Response, ApiError> {
     let body = serde_json::to_vec(value)
-        .map_err(|error| Failure(ErrorBody::new(ErrorKind::Unknown, error.to_string())))?;
+        .map_err(|error| ApiError(ErrorBody::new(ErrorKind::Unknown, error.to_string())))?;
     let digest = ContentDigest::of(&body).to_string();
     let headers = [(CONTENT_TYPE.as_str(), "application/json".to_owned()), (DIGEST_HEADER, digest)];
     Ok((headers, body).into_response())
 }
 
-/// A request's whole body, or a typed refusal when it is too large or breaks off.
+/// Extracts the complete request body; rejects bodies that are too large or truncated.
 #[derive(Debug)]
 pub struct FullBody(pub Bytes);
 
 impl<S: Send + Sync> FromRequest<S> for FullBody {
-    type Rejection = Failure;
+    type Rejection = ApiError;
 
-    async fn from_request(req: Request, state: &S) -> Result<Self, Failure> {
+    async fn from_request(req: Request, state: &S) -> Result<Self, ApiError> {
         let body = Bytes::from_request(req, state).await;
         body.map(Self).map_err(|rejection| {
             let message =
-                format!("the body was not taken ({rejection}): send at most 8 MiB, whole");
-            Failure(ErrorBody::new(ErrorKind::BadRequest, message))
+                format!("the body was rejected ({rejection}): send at most 8 MiB, complete");
+            ApiError(ErrorBody::new(ErrorKind::BadRequest, message))
         })
     }
 }
 
-/// Reads a JSON body; says what is wrong with a bad one.
-pub fn read_json<T: DeserializeOwned>(body: &Bytes) -> Result<T, Failure> {
+/// Parses a JSON body; the error describes what is invalid.
+pub fn read_json<T: DeserializeOwned>(body: &Bytes) -> Result<T, ApiError> {
     serde_json::from_slice(body).map_err(|error| {
         let message =
-            format!("the body is not what this path takes ({error}): mend it and send it again");
-        Failure(ErrorBody::new(ErrorKind::BadRequest, message))
+            format!("the body is not valid for this path ({error}): fix it and send it again");
+        ApiError(ErrorBody::new(ErrorKind::BadRequest, message))
     })
 }
 
-/// Reads a value of a path or header; says what is wrong with a bad one.
-pub fn read_value<T: std::str::FromStr<Err: std::fmt::Display>>(text: &str) -> Result<T, Failure> {
+/// Parses a path segment or header value; the error describes what is invalid.
+pub fn read_value<T: std::str::FromStr<Err: std::fmt::Display>>(text: &str) -> Result<T, ApiError> {
     text.parse()
-        .map_err(|error: T::Err| Failure(ErrorBody::new(ErrorKind::BadRequest, error.to_string())))
+        .map_err(|error: T::Err| ApiError(ErrorBody::new(ErrorKind::BadRequest, error.to_string())))
 }
 
-/// Lets only those pass who show the deployment's key.
-pub fn require_key(ctx: &BoxContext, headers: &HeaderMap) -> Result<(), Failure> {
-    let shown = headers.get(AUTHORIZATION).and_then(|value| value.to_str().ok());
-    let key = shown.and_then(|text| text.strip_prefix("Bearer "));
+/// Checks that the request is authorized with the deployment key.
+pub fn require_key(ctx: &BoxContext, headers: &HeaderMap) -> Result<(), ApiError> {
+    let header = headers.get(AUTHORIZATION).and_then(|value| value.to_str().ok());
+    let key = header.and_then(|text| text.strip_prefix("Bearer "));
     if key.is_some_and(|key| ctx.settings.key.matches(key)) {
         return Ok(());
     }
-    let message = "operators must show the deployment key: give gannetctl --key-file";
-    Err(Failure(ErrorBody::new(ErrorKind::Forbidden, message)))
+    let message = "operator requests require the deployment key: pass --key-file to gannetctl";
+    Err(ApiError(ErrorBody::new(ErrorKind::Forbidden, message)))
 }
 
-/// Begins the span of a request that came over HTTP.
+/// Starts the trace span of an HTTP request.
 pub fn http_span(ctx: &BoxContext, name: &'static str, headers: &HeaderMap) -> HopSpan {
     let parent = headers.get(TRACEPARENT_HEADER).and_then(|value| value.to_str().ok());
     ctx.tracer.hop(name, SpanKind::Server, parent.unwrap_or_default())
--- a/crates/gannetwayd/src/lib.rs
+++ b/crates/gannetwayd/src/lib.rs
@@ -1,7 +1,7 @@
 //! The daemon of an entry box.
 //!
-//! A thin shell: actors own the decision crates' state machines and do their I/O. Control
-//! state lives on one thread; traffic has others. See `docs/ARCHITECTURE.md` for the way of a
+//! Actors own the state machines of the decision crates and perform their I/O. Control state is
+//! confined to one thread; traffic runs on others. See `docs/ARCHITECTURE.md` for the path of a
 //! request through these modules.
 
 pub mod apply;
--- a/crates/gannetwayd/src/logs.rs
+++ b/crates/gannetwayd/src/logs.rs
@@ -1,15 +1,15 @@
-//! Logs: one line each, with a fixed prefix for each part and key-values at the end.
+//! Log output: one line per event, with the part's name as prefix and key-value pairs at the end.
 
 use std::time::SystemTime;
 use std::{fmt, io};
 
 use log::kv::{self, Key, Value, VisitSource};
 
-/// Sets up logging to standard error; a second call changes nothing.
+/// Sets up logging to standard error. Further calls have no effect.
 pub fn start_logs(level: log::LevelFilter) {
     let dispatch = fern::Dispatch::new()
         .format(|out, message, record| {
-            // Log lines are for people and other machines: wall-clock time is meant here.
+            // Log lines are compared across machines, so they use wall-clock time.
             let time = humantime::format_rfc3339_millis(SystemTime::now());
             let pairs = PairText(record.key_values());
             let (level, part) = (record.level(), record.target());
@@ -31,7 +31,7 @@
     ];
     let dispatch =
         parts.into_iter().fold(dispatch, |dispatch, part| dispatch.level_for(part, level));
-    // Only tests call this twice in one process.
+    // Fails if a logger is already set, which happens only in tests.
     let _already_set = dispatch.apply();
 }
 
--- a/crates/gannetwayd/src/main.rs
+++ b/crates/gannetwayd/src/main.rs
@@ -1,5 +1,5 @@
-//! Starts a box: without a role the daemon that does all duties itself, or one of the two roles
-//! of a deployment on the users' platform.
+//! Starts a box: without a role, the daemon that serves all functions itself; otherwise, one of
+//! the two roles of a deployment on the users' platform.
 
 mod roles;
 
@@ -19,9 +19,9 @@
 #[global_allocator]
 static ALLOCATOR: MiMalloc = MiMalloc;
 
-/// Exit code when the settings cannot be used.
+/// Exit code for invalid settings.
 const BAD_SETTINGS: u8 = 2;
-/// Exit code when a planned stop had to cut requests.
+/// Exit code when a planned stop aborted requests.
 const CUT_REQUESTS: u8 = 3;
 
 fn main() -> ExitCode {
@@ -47,7 +47,7 @@
 }
 
 fn run(settings: Settings) -> io::Result<usize> {
-    // Before any runtime, for the exporter blocks on a thread of its own.
+    // Must run before any runtime is created, since the exporter blocks on its own thread.
     let tracer = HopTracer::new(settings.box_id.as_str(), settings.otlp.as_deref())
         .map_err(io::Error::other)?;
     let traffic = Builder::new_multi_thread()
@@ -76,7 +76,7 @@
     Ok(running.stop().await)
 }
 
-/// The one thread for control state.
+/// The thread that runs all control state.
 struct ControlThread {
     handle: Handle,
     done: CancellationToken,
--- a/crates/gannetwayd/src/metrics.rs
+++ b/crates/gannetwayd/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What the box counts, for `/metrics`.
+//! Metrics of the box, served at `/metrics`.
 
 use std::sync::atomic::AtomicU64;
 
@@ -10,45 +10,45 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::{Registry, Unit};
 
-/// How an attempt at a sample ended.
+/// Outcome of an attempt at a sample.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum AttemptLabel {
-    /// Kept for the trainer.
+    /// The sample was kept for the trainer.
     Made,
-    /// The target took no work.
+    /// The target did not run the work.
     NotRun,
-    /// Broken off or not attributable.
+    /// The response was interrupted or invalid.
     Unusable,
-    /// Too old when it ended.
+    /// The sample was too old on completion.
     TooOld,
-    /// Its slot was filled otherwise.
+    /// The slot was filled by another attempt.
     Superseded,
 }
 
 /// Labels of the attempt counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct AttemptLabels {
-    /// How it ended.
+    /// Outcome of the attempt.
     pub end: AttemptLabel,
 }
 
-/// How a plain request ended.
+/// Outcome of a plain request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum CallLabel {
-    /// Answered in whole.
+    /// Complete response.
     Answered,
-    /// Surely not run.
+    /// Definitely not run.
     NotRun,
     /// May have run.
     Unknown,
-    /// Refused as wrong.
+    /// Refused as invalid.
     BadRequest,
 }
 
 /// Labels of the plain request counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct CallLabels {
-    /// How it ended.
+    /// Outcome of the request.
     pub end: CallLabel,
 }
 
@@ -56,33 +56,33 @@
 #[derive(Debug)]
 pub struct BoxMetrics {
     registry: Registry,
-    /// Attempts at samples by how they ended.
+    /// Attempts at samples by outcome.
     pub attempts: Family<AttemptLabels, Counter>,
-    /// Plain requests by how they ended.
+    /// Plain requests by outcome.
     pub calls: Family<CallLabels, Counter>,
-    /// Retries of plain requests and samples at other targets.
+    /// Retries of plain requests.
     pub retries: Counter,
-    /// Samples handed out to trainers.
+    /// Samples returned to trainers.
     pub handed_out: Counter,
     /// Requests in flight.
     pub in_flight: Gauge,
-    /// Configuration generation in force.
+    /// Generation of the current configuration.
     pub generation: Gauge,
-    /// Boxes taken to be live.
+    /// Boxes considered live.
     pub live_boxes: Gauge,
     /// Bytes of heartbeats sent.
     pub heartbeat_bytes: Counter,
-    /// Leases held or lost.
+    /// Number of times a keeper lease was acquired or lost.
     pub lease_changes: Counter,
-    /// Time from a plain request's arrival to the end of its answer, in seconds.
+    /// Duration of a plain request from arrival to the complete response, in seconds.
     pub call_seconds: Histogram,
-    /// Time a pull waited for its first sample, in seconds.
+    /// Time that a pull waited for its first sample, in seconds.
     pub pull_wait_seconds: Histogram,
-    /// Tokens of samples kept.
+    /// Tokens of completed samples.
     pub tokens: Counter<u64, AtomicU64>,
 }
 
-/// Buckets from 1 ms doubling to 16 s.
+/// Creates a histogram with exponential buckets from 1 ms to 16 s.
 fn seconds() -> Histogram {
     Histogram::new(exponential_buckets(0.001, 2.0, 15))
 }
@@ -129,10 +129,10 @@
         registry.register("sample_tokens", "Tokens of samples kept", self.tokens.clone());
     }
 
-    /// The metrics in the exposition format.
+    /// Encodes the metrics in the exposition format.
     pub fn encode(&self) -> String {
         let mut text = String::new();
-        // Writing to a string does not fail.
+        // Writing to a string never fails.
         let _infallible = encode(&mut text, &self.registry);
         text
     }
--- a/crates/gannetwayd/src/refuse.rs
+++ b/crates/gannetwayd/src/refuse.rs
@@ -1,4 +1,4 @@
-//! Refusals between the decision code, the wire and callers.
+//! Converts refusals between the decision code, the wire and callers.
 
 use std::time::Duration;
 
@@ -11,12 +11,12 @@
 use targets::TargetError;
 use wire::peer::{Refused, RefusedKind, TargetLoad};
 
-/// What a caller is told to wait while a keeper is found.
+/// Retry delay reported when a keeper or a target is temporarily unavailable.
 const KEEPER_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Retry-After is spread by up to this factor, so that callers do not return all at once.
+/// Maximum relative jitter added to Retry-After, so that callers do not retry simultaneously.
 const RETRY_JITTER: f64 = 1.0;
 
-/// Short stable names of the reasons, for the wire.
+/// Stable names of the reasons on the wire.
 const REASONS: [(&str, NotRun); 10] = [
     ("overloaded", NotRun::Overloaded),
     ("leaving", NotRun::Leaving),
@@ -35,7 +35,7 @@
     REASONS.iter().find(|(_, known)| same(*known)).map_or("unreachable", |(name, _)| name)
 }
 
-/// A refusal for the wire, with what the home knows of its target.
+/// Converts a refusal to its wire form, with the target's load if known.
 pub fn wire_refusal(refusal: &Refusal, load: Option<TargetLoad>) -> Refused {
     match refusal {
         Refusal::NotRun { reason, retry_after } => Refused {
@@ -55,17 +55,17 @@
     }
 }
 
-/// A "not run" refusal for the wire.
+/// Creates a "not run" refusal in its wire form.
 pub fn wire_not_run(reason: NotRun, retry_after: Duration) -> Refused {
     wire_refusal(&Refusal::not_run(reason, retry_after), None)
 }
 
-/// A refusal of a request that is itself wrong.
+/// Creates a refusal of an invalid request.
 pub fn wire_bad_request(message: impl Into<String>) -> Refused {
     Refused { kind: RefusedKind::BadRequest.into(), message: message.into(), ..Refused::default() }
 }
 
-/// A target's failure for the wire.
+/// Converts a target's error to its wire form.
 pub fn wire_target_error(error: &TargetError) -> Refused {
     let refusal = match error {
         TargetError::NotSent => Refusal::not_run(NotRun::Unreachable, Duration::ZERO),
@@ -75,7 +75,7 @@
     Refused { message: error.to_string(), ..wire_refusal(&refusal, None) }
 }
 
-/// A failed call to another box, passed on to the caller.
+/// Converts a failed call to another box to its wire form.
 pub fn wire_call_error(error: CallError) -> Refused {
     match error {
         CallError::Refused(refused) => *refused,
@@ -86,7 +86,7 @@
     }
 }
 
-/// A keeper's refusal for the wire.
+/// Converts a keeper's refusal to its wire form.
 pub fn wire_keeper_refusal(refusal: &KeeperRefusal) -> Refused {
     let (kind, retry_after) = match refusal {
         KeeperRefusal::NotKeeping { .. }
@@ -122,10 +122,11 @@
     }
 }
 
-/// Reason that marks a step which its keeper does not know.
+/// Reason of a refusal for a step that is not open at its keeper.
 const NOT_OPEN: &str = "not_open";
 
-/// The reason and pause of a "not run" refusal from the wire.
+/// Parses the reason and retry delay of a refusal from the wire. Returns `None` if the work may
+/// have run.
 pub fn parse_not_run(refused: &Refused) -> Option<(NotRun, Duration)> {
     if refused.kind() == RefusedKind::Unknown {
         return None;
@@ -135,7 +136,8 @@
     Some((reason, Duration::from_millis(refused.retry_after_ms)))
 }
 
-/// A refusal from the wire, for callers; `random` from 0 to 1 spreads their return.
+/// Converts a refusal from the wire to an error for callers. `random`, from 0 to 1, sets the
+/// jitter of the retry delay.
 pub fn caller_error(refused: &Refused, random: f64) -> ErrorBody {
     let kind = match refused.kind() {
         RefusedKind::Unknown => ErrorKind::Unknown,
@@ -145,6 +147,6 @@
         RefusedKind::Conflict => ErrorKind::Conflict,
     };
     let pause = Duration::from_millis(refused.retry_after_ms);
-    let spread = pause.mul_f64(1.0 + RETRY_JITTER * random.clamp(0.0, 1.0));
-    ErrorBody { kind, message: refused.message.clone(), retry_after_ms: whole_millis(spread) }
+    let jittered = pause.mul_f64(1.0 + RETRY_JITTER * random.clamp(0.0, 1.0));
+    ErrorBody { kind, message: refused.message.clone(), retry_after_ms: whole_millis(jittered) }
 }
--- a/crates/gannetwayd/src/roles.rs
+++ b/crates/gannetwayd/src/roles.rs
@@ -1,4 +1,4 @@
-//! The roles of a deployment on the users' platform, each by a word on the command line.
+//! Roles of a deployment on the users' platform, selected by a subcommand.
 
 use std::io;
 use std::process::ExitCode;
@@ -21,20 +21,20 @@
 
 #[derive(Debug, Subcommand)]
 enum Role {
-    /// Takes callers' requests; keeps nothing.
+    /// Serves callers' requests; keeps no state.
     Entry(RawNodeSettings),
-    /// Keeps jobs on its disk, runs their items, orders engines.
+    /// Stores jobs on its disk, runs their items and orders weight loads at engines.
     Keep(RawStorageSettings),
 }
 
-/// Threads that wait for the disk: a round of the log, a copy from each of two boxes, a clean-up.
-/// Each has memory of its own.
+/// Maximum number of blocking threads for disk I/O: log writes, copies from two boxes, clean-up.
+/// Limited because each thread has its own stack.
 const MAX_BLOCKING_THREADS: usize = 4;
 
-/// Words that name a role.
+/// Subcommands that select a role.
 const ROLES: [&str; 2] = ["entry", "keep"];
 
-/// Runs the role that the command line names; `None` when it names none.
+/// Runs the role selected on the command line; returns `None` if there is none.
 pub fn run_role() -> Option<ExitCode> {
     let first = std::env::args().nth(1)?;
     if !ROLES.contains(&first.as_str()) {
@@ -62,8 +62,7 @@
 }
 
 fn start_role(role: Role) -> Result<(), RoleError> {
-    // One thread: these boxes have a fraction of one core, and a second thread would only add
-    // the price of waking it.
+    // These boxes have a fraction of one core, so a second thread would only add wake-up costs.
     let runtime = Builder::new_current_thread()
         .enable_all()
         .max_blocking_threads(MAX_BLOCKING_THREADS)
--- a/crates/gannetwayd/src/settings.rs
+++ b/crates/gannetwayd/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: flags and environment variables, checked all at once at start.
+//! Settings from flags and environment variables, validated together at start.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -34,7 +34,7 @@
     /// The platform's object API, as http://IP:PORT.
     #[arg(long, env = "GANNETWAY_PLATFORM")]
     pub platform: String,
-    /// Peer addresses to greet at start, as IP:PORT, separated by commas.
+    /// Peer addresses to contact at start, as IP:PORT, separated by commas.
     #[arg(long, env = "GANNETWAY_PEERS", default_value = "")]
     pub peers: String,
     /// File that holds the deployment's key.
@@ -66,52 +66,53 @@
 /// Checked settings.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// This box.
+    /// Id of this box.
     pub box_id: BoxId,
-    /// Its failure domain.
+    /// Failure domain of this box.
     pub domain: DomainId,
-    /// Where callers come in.
+    /// Listen address for callers.
     pub caller_listen: SocketAddr,
-    /// Where peers come in.
+    /// Listen address for peers.
     pub peer_listen: SocketAddr,
-    /// Where peers are told to come in, if elsewhere.
+    /// Address advertised to peers, if it differs from the listen address.
     pub peer_advertise: Option<SocketAddr>,
-    /// The platform.
+    /// URL of the platform's object API.
     pub platform: String,
-    /// Peers to greet at start.
+    /// Peers to contact at start.
     pub peers: Vec<SocketAddr>,
     /// The deployment's key.
     pub key: DeploymentKey,
     /// Term of leases.
     pub lease_term: Duration,
-    /// Time for the balancer to notice a planned stop.
+    /// Time for the load balancer to detect a planned stop.
     pub drain_notice: Duration,
     /// Time for requests in flight to finish.
     pub drain_limit: Duration,
-    /// Threads for traffic.
+    /// Number of traffic threads.
     pub traffic_threads: usize,
     /// Log level.
     pub log: log::LevelFilter,
-    /// Collector for traces.
+    /// URL of the trace collector (OTLP over HTTP).
     pub otlp: Option<String>,
 }
 
-/// Every fault in the settings, each naming its flag and remedy.
+/// All invalid settings, each with its flag and remedy.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("the settings cannot be used:\n  {}", .faults.join("\n  "))]
 pub struct SettingsError {
-    /// One line each.
+    /// One line per invalid setting.
     pub faults: Vec<String>,
 }
 
-/// Shortest lease term: renewals must fit in it with the platform answering slowly.
+/// Range of the lease term, in milliseconds. The minimum leaves time for renewals on a slow
+/// platform.
 const LEASE_TERM_MS: std::ops::RangeInclusive<u64> = 500..=60_000;
-/// Longest wait in a planned stop, in milliseconds.
+/// Range of the waits in a planned stop, in milliseconds.
 const DRAIN_MS: std::ops::RangeInclusive<u64> = 0..=600_000;
-/// Threads that make sense on one box.
+/// Range of the number of traffic threads.
 const THREADS: std::ops::RangeInclusive<u64> = 1..=256;
 
-/// Gathers faults while settings are read.
+/// Parses settings and collects their faults.
 #[derive(Default)]
 struct SettingsChecker {
     faults: Vec<String>,
@@ -171,7 +172,7 @@
 }
 
 impl RawSettings {
-    /// Checks every value; reports all faults together.
+    /// Validates all settings and reports all faults together.
     pub fn check(self) -> Result<Settings, SettingsError> {
         let mut checker = SettingsChecker::default();
         let settings = self.read(&mut checker);
--- a/crates/gannetwayd/src/trace.rs
+++ b/crates/gannetwayd/src/trace.rs
@@ -1,4 +1,4 @@
-//! A span for each hop, with its context carried from process to process (W3C traceparent).
+//! Trace spans, one per hop, with context propagation between processes (W3C traceparent).
 
 use std::collections::HashMap;
 
@@ -11,7 +11,7 @@
 use opentelemetry_sdk::trace::{SdkTracer, SdkTracerProvider};
 use targets::TRACEPARENT_HEADER;
 
-/// Makes spans; exports them when a collector was named.
+/// Creates spans and exports them if a collector is configured.
 #[derive(Debug, Clone)]
 pub struct HopTracer {
     provider: SdkTracerProvider,
@@ -19,7 +19,7 @@
     propagator: TraceContextPropagator,
 }
 
-/// One hop's span; it ends when dropped.
+/// The span of a hop; ends when dropped.
 #[derive(Debug)]
 pub struct HopSpan {
     context: Context,
@@ -27,8 +27,8 @@
 }
 
 impl HopTracer {
-    /// A tracer for `box_id`, exporting to `otlp` if given. Call it outside a runtime: the
-    /// exporter brings a thread of its own.
+    /// Creates a tracer for `box_id` that exports to `otlp`, if given. Must be called outside of a
+    /// runtime, since the exporter starts its own thread.
     pub fn new(box_id: &str, otlp: Option<&str>) -> Result<Self, ExporterBuildError> {
         let resource = Resource::builder()
             .with_service_name("gannetwayd")
@@ -48,7 +48,7 @@
         Ok(Self { provider, tracer, propagator: TraceContextPropagator::new() })
     }
 
-    /// Begins the span of a hop; `parent` is the traceparent that came in, or empty.
+    /// Starts the span of a hop; `parent` is the incoming traceparent, or empty.
     pub fn hop(&self, name: &'static str, kind: SpanKind, parent: &str) -> HopSpan {
         let carrier = HashMap::from([(TRACEPARENT_HEADER.to_owned(), parent.to_owned())]);
         let parent = self.propagator.extract_with_context(&Context::new(), &carrier);
@@ -64,20 +64,20 @@
         HopSpan { context, traceparent }
     }
 
-    /// Sends what is left to the collector.
+    /// Flushes the remaining spans to the collector and shuts the exporter down.
     pub fn finish(&self) {
-        // At the end of the process nothing can be done about a collector that is away.
+        // The process is about to exit, so a failed export is ignored.
         let _unsent = self.provider.shutdown();
     }
 }
 
 impl HopSpan {
-    /// The context to carry to the next hop.
+    /// Returns the traceparent for the next hop.
     pub fn traceparent(&self) -> &str {
         &self.traceparent
     }
 
-    /// Notes a fact about the hop.
+    /// Sets a span attribute.
     pub fn set_attribute(&self, key: &'static str, value: impl Into<opentelemetry::Value>) {
         self.context.span().set_attribute(KeyValue::new(key, value));
     }
