--- a/crates/gannetwayd/tests/settings.rs
+++ b/crates/gannetwayd/tests/settings.rs
@@ -1,19 +1,19 @@
-//! Settings are checked at once, and each fault names its flag and remedy.
+//! Settings are validated together, and each error names its flag and remedy.
 
 use clap::Parser;
 use gannetwayd::settings::RawSettings;
 
-/// Checks what the settings say of these arguments.
+/// Compares the checked settings, or the error, for `args` with the snapshot `name`.
 fn check(name: &str, args: &[&str]) {
     let raw = RawSettings::try_parse_from(std::iter::once(&"gannetwayd").chain(args));
-    let said = match raw.expect("the flags exist").check() {
+    let output = match raw.expect("all flags are defined").check() {
         Ok(settings) => format!("{settings:#?}"),
         Err(error) => error.to_string(),
     };
-    insta::assert_snapshot!(name, said);
+    insta::assert_snapshot!(name, output);
 }
 
-const GOOD: [&str; 8] = [
+const VALID_ARGS: [&str; 8] = [
     "--box-id",
     "box-1",
     "--domain",
@@ -25,13 +25,13 @@
 ];
 
 #[test]
-fn good_settings_show_no_key() {
-    check("good", &GOOD);
+fn debug_output_of_settings_hides_the_key() {
+    check("good", &VALID_ARGS);
 }
 
 #[test]
-fn every_fault_is_told_at_once() {
-    let bad = [
+fn all_faults_are_reported_together() {
+    let invalid_args = [
         "--box-id",
         "box 1",
         "--domain",
@@ -57,10 +57,10 @@
         "--otlp",
         "collector",
     ];
-    check("bad", &bad);
+    check("bad", &invalid_args);
 }
 
 #[test]
-fn a_missing_key_names_its_flag() {
-    check("no_key", &GOOD[..6]);
+fn missing_key_error_names_its_flag() {
+    check("no_key", &VALID_ARGS[..6]);
 }
