--- a/crates/gannetwayd/src/coordinator.rs
+++ b/crates/gannetwayd/src/coordinator.rs
@@ -178,7 +178,7 @@
     }
 
     fn publish_status(&self) {
-        let shown = self.coordinators.iter().map(|(pool, coordinator)| {
+        let statuses = self.coordinators.iter().map(|(pool, coordinator)| {
             let progress = coordinator.progress();
             RolloutStatus {
                 pool: pool.clone(),
@@ -189,7 +189,7 @@
                 in_doubt: progress.in_doubt,
             }
         });
-        *self.ctx.rollouts.lock() = shown.collect();
+        *self.ctx.rollouts.lock() = statuses.collect();
     }
 }
 
--- a/crates/gannetwayd/src/daemon.rs
+++ b/crates/gannetwayd/src/daemon.rs
@@ -142,11 +142,11 @@
         let notice = time::sleep(ctx.settings.drain_notice);
         tokio::join!(notice, self.hand_over_all(attempts_until));
         self.stop_http.cancel();
-        let cut = self.wait_for_requests(limit).await;
+        let aborted = self.wait_for_requests(limit).await;
         ctx.stop.cancel();
         ctx.tracer.finish();
-        log::info!(target: "box", id:% = ctx.me.id, requests_cut = cut; "stopped");
-        cut
+        log::info!(target: "box", id:% = ctx.me.id, requests_cut = aborted; "stopped");
+        aborted
     }
 
     async fn hand_over_all(&self, attempts_until: time::Instant) {
--- a/crates/gannetwayd/src/documents.rs
+++ b/crates/gannetwayd/src/documents.rs
@@ -26,7 +26,7 @@
 /// Number of boxes per failure domain that watch the platform.
 const WATCHERS_PER_DOMAIN: usize = 2;
 /// Maximum time that one watch request waits for a change.
-const WATCH_WAIT: Duration = Duration::from_secs(8);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(8);
 /// Interval at which a box that is not a watcher checks whether it became one.
 const WATCHER_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Range of the random delay after a failed read, in milliseconds.
@@ -121,8 +121,8 @@
             let now = self.ctx.clock.now();
             let members = self.ctx.members.borrow();
             let all = members.all(now);
-            let known = all.iter().find(|(record, _)| record.id == peer);
-            known
+            let entry = all.iter().find(|(record, _)| record.id == peer);
+            entry
                 .filter(|(_, live)| *live != Liveness::Dead)
                 .map(|(record, _)| record.address.clone())
         };
@@ -232,7 +232,7 @@
         let read = async {
             match after {
                 None => ctx.store.list(kind).await,
-                Some(after) => ctx.store.watch(kind, after, WATCH_WAIT).await,
+                Some(after) => ctx.store.watch(kind, after, WATCH_TIMEOUT).await,
             }
         };
         let Some(listed) = ctx.stop.run_until_cancelled(read).await else { return };
--- a/crates/gannetwayd/src/home.rs
+++ b/crates/gannetwayd/src/home.rs
@@ -186,8 +186,8 @@
         self.queue.set_limit(limit);
         match documents.target(&self.record.id) {
             Some(record) if !record.leaving => self.queue.clear_leaving(),
-            // A target missing from the list is leaving, unless no list has been loaded yet.
             Some(_) => self.queue.mark_leaving(),
+            // A target missing from the list is leaving, unless no list has been loaded yet.
             None if documents.ready => self.queue.mark_leaving(),
             None => {}
         }
--- a/crates/gannetwayd/src/http/plain.rs
+++ b/crates/gannetwayd/src/http/plain.rs
@@ -83,8 +83,8 @@
     FullBody(body): FullBody,
 ) -> Response {
     let started = state.ctx.clock.now();
-    let answered = serve_call(&state, &service, &path, &method, &uri, (&headers, body)).await;
-    let label = match &answered {
+    let result = serve_call(&state, &service, &path, &method, &uri, (&headers, body)).await;
+    let label = match &result {
         Ok(_) => CallLabel::Answered,
         Err(ApiError(error)) => match error.kind {
             ErrorKind::Unknown => CallLabel::Unknown,
@@ -95,7 +95,7 @@
     let metrics = &state.ctx.metrics;
     metrics.calls.get_or_create(&CallLabels { end: label }).inc();
     metrics.call_seconds.observe(state.ctx.clock.now().since(started).as_secs_f64());
-    answered.into_response()
+    result.into_response()
 }
 
 async fn serve_call(
@@ -139,10 +139,10 @@
         },
     };
     let part = run.run_with_retries(&service).await?;
-    answer(&part, &request_id)
+    build_response(&part, &request_id)
 }
 
-fn answer(part: &PlainPart, request_id: &RequestId) -> Result<Response, ApiError> {
+fn build_response(part: &PlainPart, request_id: &RequestId) -> Result<Response, ApiError> {
     let status = u16::try_from(part.status).ok().and_then(|code| StatusCode::from_u16(code).ok());
     let status = status.ok_or_else(|| {
         ApiError(ErrorBody::new(ErrorKind::Unknown, "the service returned an invalid HTTP status"))
@@ -218,11 +218,11 @@
             })),
         };
         let called = call_home(self.ctx(), target, request).await;
-        let answer = match called {
+        let response = match called {
             Ok(stream) => stream.single(left + IDLE_TIMEOUT_SLACK).await,
             Err(error) => Err(error),
         };
-        match answer.map(|item| item.body) {
+        match response.map(|item| item.body) {
             Ok(Some(response_item::Body::PlainPart(part))) => {
                 lock(&placed.router.chooser).succeeded(target);
                 Ok(part)
--- a/crates/gannetwayd/src/keeper/actor.rs
+++ b/crates/gannetwayd/src/keeper/actor.rs
@@ -58,7 +58,7 @@
 #[derive(Debug)]
 pub struct PullReply {
     /// Samples for the trainer.
-    pub out: PulledBatch,
+    pub batch: PulledBatch,
     /// The step's state.
     pub state: KeptState,
     /// Whether to respond now instead of waiting for further samples.
@@ -132,7 +132,7 @@
 #[derive(Debug)]
 struct AttemptDone {
     placement: Placement,
-    end: AttemptOutcome,
+    outcome: AttemptOutcome,
     hint: Option<TargetHint>,
 }
 
@@ -229,9 +229,9 @@
     fn spawn_lease_action(&self, action: LeaseAction, me: &ActorRef<Self>) {
         let (ctx, key, me) = (Arc::clone(&self.ctx), self.key.lease(), me.clone());
         self.ctx.control.spawn(async move {
-            let answer = run_lease_action(&ctx.store, &key, action).await;
+            let response = run_lease_action(&ctx.store, &key, action).await;
             // Sending fails only when the box stops.
-            let _stopped = me.tell(LeaseActionDone(answer)).await;
+            let _stopped = me.tell(LeaseActionDone(response)).await;
         });
     }
 
@@ -244,9 +244,9 @@
             .subscribe();
         let (ctx, key, me) = (Arc::clone(&self.ctx), self.key.clone(), me.clone());
         self.ctx.traffic.spawn(async move {
-            let (end, hint) = run_attempt(&ctx, &key, &placement, window_out).await;
+            let (outcome, hint) = run_attempt(&ctx, &key, &placement, window_out).await;
             // Sending fails only when the box stops.
-            let _stopped = me.tell(AttemptDone { placement, end, hint }).await;
+            let _stopped = me.tell(AttemptDone { placement, outcome, hint }).await;
         });
     }
 }
@@ -273,11 +273,11 @@
         if pulled.is_err() || self.keeper.waiting_bytes() < before {
             self.drive(&ctx.actor_ref());
         }
-        let (out, state) = pulled?;
+        let (batch, state) = pulled?;
         let complete = state.progress.held == state.progress.slots;
-        let respond_now = complete || !out.samples.is_empty();
-        self.ctx.metrics.handed_out.inc_by(out.samples.len() as u64);
-        Ok(PullReply { out, state, respond_now })
+        let respond_now = complete || !batch.samples.is_empty();
+        self.ctx.metrics.handed_out.inc_by(batch.samples.len() as u64);
+        Ok(PullReply { batch, state, respond_now })
     }
 }
 
@@ -366,13 +366,13 @@
 
     async fn handle(&mut self, msg: AttemptDone, ctx: &mut Context<Self, ()>) {
         let now = self.ctx.clock.now();
-        let label = match &msg.end {
+        let label = match &msg.outcome {
             AttemptOutcome::Completed(_) => AttemptLabel::Made,
             AttemptOutcome::NotRun { .. } => AttemptLabel::NotRun,
             AttemptOutcome::Unusable => AttemptLabel::Unusable,
             AttemptOutcome::TooOld => AttemptLabel::TooOld,
         };
-        let settled = self.keeper.attempt_ended(now, &msg.placement, msg.end, msg.hint);
+        let settled = self.keeper.attempt_ended(now, &msg.placement, msg.outcome, msg.hint);
         let label = match settled {
             Some(Settled::Superseded) => AttemptLabel::Superseded,
             Some(Settled::TooOld) => AttemptLabel::TooOld,
--- a/crates/gannetwayd/src/keeper/attempt.rs
+++ b/crates/gannetwayd/src/keeper/attempt.rs
@@ -92,8 +92,8 @@
             match item.body {
                 Some(response_item::Body::Load(load)) => self.hint = Some(hint_of(&load)),
                 Some(response_item::Body::Chunk(chunk)) => {
-                    let taken = assembler.chunk(stamp_of(&chunk), &chunk.text);
-                    taken.map_err(|error| self.unusable(&error))?;
+                    let accepted = assembler.chunk(stamp_of(&chunk), &chunk.text);
+                    accepted.map_err(|error| self.unusable(&error))?;
                     let window = *self.window.borrow();
                     if assembler.oldest().is_some_and(|oldest| window.is_too_old(oldest)) {
                         return Err(AttemptOutcome::TooOld);
--- a/crates/gannetwayd/src/main.rs
+++ b/crates/gannetwayd/src/main.rs
@@ -20,9 +20,9 @@
 static ALLOCATOR: MiMalloc = MiMalloc;
 
 /// Exit code for invalid settings.
-const BAD_SETTINGS: u8 = 2;
+const INVALID_SETTINGS_EXIT: u8 = 2;
 /// Exit code when a planned stop aborted requests.
-const CUT_REQUESTS: u8 = 3;
+const ABORTED_REQUESTS_EXIT: u8 = 3;
 
 fn main() -> ExitCode {
     if let Some(code) = roles::run_role() {
@@ -32,13 +32,13 @@
         Ok(settings) => settings,
         Err(error) => {
             eprintln!("gannetwayd: {error}");
-            return ExitCode::from(BAD_SETTINGS);
+            return ExitCode::from(INVALID_SETTINGS_EXIT);
         }
     };
     start_logs(settings.log);
     match run(settings) {
         Ok(0) => ExitCode::SUCCESS,
-        Ok(_) => ExitCode::from(CUT_REQUESTS),
+        Ok(_) => ExitCode::from(ABORTED_REQUESTS_EXIT),
         Err(error) => {
             eprintln!("gannetwayd: {error}; check the addresses in the settings");
             ExitCode::FAILURE
@@ -56,9 +56,9 @@
         .enable_all()
         .build()?;
     let control = ControlThread::start()?;
-    let cut = traffic.block_on(run_until_signal(settings, tracer, control.handle.clone()));
+    let aborted = traffic.block_on(run_until_signal(settings, tracer, control.handle.clone()));
     control.stop();
-    cut
+    aborted
 }
 
 async fn run_until_signal(
--- a/crates/gannetwayd/src/peer.rs
+++ b/crates/gannetwayd/src/peer.rs
@@ -109,10 +109,10 @@
 }
 
 impl BoxHandler {
-    fn is_behind(&self, heard: &PeerGenerations) -> bool {
+    fn is_behind(&self, reported: &PeerGenerations) -> bool {
         let documents = self.ctx.documents.borrow();
-        heard.config > documents.config.generation
-            || heard.targets > documents.targets.list().revision
+        reported.config > documents.config.generation
+            || reported.targets > documents.targets.list().revision
     }
 
     async fn documents(&self, fetch: &FetchDocuments, mut sink: ResponseSink) {
--- a/crates/gannetwayd/src/refuse.rs
+++ b/crates/gannetwayd/src/refuse.rs
@@ -131,8 +131,8 @@
     if refused.kind() == RefusedKind::Unknown {
         return None;
     }
-    let known = REASONS.iter().find(|(name, _)| *name == refused.reason);
-    let reason = known.map_or(NotRun::RefusedByTarget, |(_, reason)| *reason);
+    let entry = REASONS.iter().find(|(name, _)| *name == refused.reason);
+    let reason = entry.map_or(NotRun::RefusedByTarget, |(_, reason)| *reason);
     Some((reason, Duration::from_millis(refused.retry_after_ms)))
 }
 
--- a/crates/gannetwayd/src/roles.rs
+++ b/crates/gannetwayd/src/roles.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpListener;
 use tokio::runtime::Builder;
 
-use crate::BAD_SETTINGS;
+use crate::INVALID_SETTINGS_EXIT;
 
 #[derive(Debug, Parser)]
 #[command(name = "gannetwayd", version)]
@@ -44,7 +44,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(RoleError::Settings(error)) => {
             eprintln!("gannetwayd: {error}");
-            ExitCode::from(BAD_SETTINGS)
+            ExitCode::from(INVALID_SETTINGS_EXIT)
         }
         Err(RoleError::Io(error)) => {
             eprintln!("gannetwayd: {error}; check the addresses and the data folder");
--- a/crates/gannetwayd/src/serve/step.rs
+++ b/crates/gannetwayd/src/serve/step.rs
@@ -43,11 +43,15 @@
 pub async fn open(incoming: &IncomingRequest<'_>, open: peer::OpenStep, mut sink: ResponseSink) {
     send_ack(incoming, &mut sink).await;
     let result = async {
-        let (handle, step, seen) = keeper(incoming, open.step.as_ref())?;
+        let (handle, step, seen) = find_keeper(incoming, open.step.as_ref())?;
         let spec = StepSpec {
             step,
             version: ModelVersion::new(open.version),
-            groups: open.groups.into_iter().map(group).collect::<ServeResult<Vec<GroupSpec>>>()?,
+            groups: open
+                .groups
+                .into_iter()
+                .map(group_from_wire)
+                .collect::<ServeResult<Vec<GroupSpec>>>()?,
         };
         let held = SlotSet::from_bytes(open.held);
         ask_keeper(incoming, &handle, || OpenStep { spec: spec.clone(), held: held.clone(), seen })
@@ -73,7 +77,7 @@
 ) {
     send_ack(incoming, &mut sink).await;
     let result = async {
-        let (handle, step, seen) = keeper(incoming, advance.step.as_ref())?;
+        let (handle, step, seen) = find_keeper(incoming, advance.step.as_ref())?;
         let version = ModelVersion::new(advance.version);
         ask_keeper(incoming, &handle, || AdvanceStep { step, version, seen }).await
     };
@@ -84,7 +88,7 @@
 pub async fn close(incoming: &IncomingRequest<'_>, close: peer::CloseStep, mut sink: ResponseSink) {
     send_ack(incoming, &mut sink).await;
     let result = async {
-        let (handle, step, seen) = keeper(incoming, close.step.as_ref())?;
+        let (handle, step, seen) = find_keeper(incoming, close.step.as_ref())?;
         ask_keeper(incoming, &handle, || CloseStep { step, seen }).await
     };
     match result.await {
@@ -101,7 +105,7 @@
 ) {
     send_ack(incoming, &mut sink).await;
     let result = async {
-        let (handle, step, _) = keeper(incoming, status.step.as_ref())?;
+        let (handle, step, _) = find_keeper(incoming, status.step.as_ref())?;
         ask_keeper(incoming, &handle, || StepStateQuery(step)).await
     };
     send_state(incoming, result.await, sink).await;
@@ -109,7 +113,7 @@
 
 /// Adopts the steps of a box that stops.
 pub async fn take_over(incoming: &IncomingRequest<'_>, take: TakeOver, sink: ResponseSink) {
-    let taken = async {
+    let result = async {
         if incoming.ctx.is_leaving() {
             return Err(wire_not_run(NotRun::Stopping, Duration::ZERO));
         }
@@ -119,15 +123,15 @@
         let snapshots = snapshots.map_err(|error| wire_bad_request(error.to_string()))?;
         let handle = incoming.ctx.keepers.get_or_start(incoming.ctx, &key);
         let adopt = AdoptSteps { snapshots, token: FencingToken::new(take.token) };
-        handle.actor.tell(adopt).await.map_err(|_stopped| stopping())
+        handle.actor.tell(adopt).await.map_err(|_stopped| stopping_refusal())
     };
-    match taken.await {
+    match result.await {
         Ok(()) => sink.end(ResponseEnd::default()).await,
         Err(refused) => sink.refuse(refused).await,
     }
 }
 
-fn stopping() -> Refused {
+fn stopping_refusal() -> Refused {
     wire_not_run(NotRun::Stopping, Duration::ZERO)
 }
 
@@ -137,7 +141,7 @@
     Ok(KeeperKey { pool, trainer })
 }
 
-fn group(group: peer::Group) -> ServeResult<GroupSpec> {
+fn group_from_wire(group: peer::Group) -> ServeResult<GroupSpec> {
     let samples = u16::try_from(group.samples)
         .map_err(|_large| wire_bad_request("a group requests more than 65535 samples: split it"))?;
     let max_tokens = TokenCount::new(group.max_tokens);
@@ -151,15 +155,15 @@
 
 /// Returns the keeper on this box. It is started only if the sender asks this box to claim the
 /// lease.
-fn keeper(
+fn find_keeper(
     incoming: &IncomingRequest<'_>,
     step: Option<&StepRef>,
 ) -> ServeResult<(KeeperHandle, StepNumber, FencingToken)> {
     let step = step.ok_or_else(|| wire_bad_request("the request names no step"))?;
     let key = key_of(&step.pool, &step.trainer)?;
     let ctx = incoming.ctx;
-    let known = ctx.keepers.get(&key);
-    let handle = match known {
+    let existing = ctx.keepers.get(&key);
+    let handle = match existing {
         Some(handle) => handle,
         // Do not start an actor or claim a lease for a trainer that is not configured.
         None if !is_configured(ctx, &key) => {
@@ -199,7 +203,7 @@
         let refusal = match handle.actor.ask(message()).await {
             Ok(reply) => return Ok(reply),
             Err(SendError::HandlerError(refusal)) => refusal,
-            Err(_) => return Err(stopping()),
+            Err(_) => return Err(stopping_refusal()),
         };
         let claiming =
             matches!(refusal, KeeperRefusal::NotKeeping { claiming: true, holder: None, .. });
@@ -217,7 +221,7 @@
     incoming: &IncomingRequest<'_>,
     pull: peer::PullStep,
 ) -> ServeResult<PullReply> {
-    let (handle, step, seen) = keeper(incoming, pull.step.as_ref())?;
+    let (handle, step, seen) = find_keeper(incoming, pull.step.as_ref())?;
     let most = usize::try_from(pull.max_samples).unwrap_or(MAX_SAMPLES).clamp(1, MAX_SAMPLES);
     let pull_request = Pull { held: SlotSet::from_bytes(pull.held), seen, most };
     let mut changes = handle.changes.clone();
@@ -249,7 +253,7 @@
 }
 
 async fn send_pulled(incoming: &IncomingRequest<'_>, pulled: &PullReply, mut sink: ResponseSink) {
-    for sample in &pulled.out.samples {
+    for sample in &pulled.batch.samples {
         let body = response_item::Body::Sample(sample_item(sample));
         if !sink.item(ResponseItem { body: Some(body) }).await {
             return;
--- a/crates/gannetwayd/src/serve/target.rs
+++ b/crates/gannetwayd/src/serve/target.rs
@@ -50,15 +50,15 @@
 
 impl Drop for TargetPermit {
     fn drop(&mut self) {
-        let end = ReleasePermit { ticket: self.ticket, tokens: TokenCount::new(self.tokens) };
+        let release = ReleasePermit { ticket: self.ticket, tokens: TokenCount::new(self.tokens) };
         let home = self.home.clone();
         // Wait for mailbox capacity in a task, so that the permit is always released.
-        self.traffic.spawn(async move { home.tell(end).await.ok() });
+        self.traffic.spawn(async move { home.tell(release).await.ok() });
     }
 }
 
 /// Returns the target's record if the target is in this box's domain.
-fn record(ctx: &BoxContext, target: &str) -> ServeResult<TargetRecord> {
+fn find_record(ctx: &BoxContext, target: &str) -> ServeResult<TargetRecord> {
     let id: TargetId = parse_id(target).map_err(|error| wire_bad_request(error.to_string()))?;
     let record = ctx.documents.borrow().target(&id).cloned();
     let record = record.ok_or_else(|| wire_not_run(NotRun::Unknown, UNKNOWN_TARGET_RETRY_DELAY))?;
@@ -120,19 +120,19 @@
 async fn acquire_permit(
     incoming: &IncomingRequest<'_>,
     home: &HomeHandle,
-    ask: AdmissionRequest,
+    admission: AdmissionRequest,
 ) -> ServeResult<TargetPermit> {
-    let answer = home.actor.ask(RequestPermit(ask)).await;
-    let held = |ticket| {
+    let response = home.actor.ask(RequestPermit(admission)).await;
+    let new_permit = |ticket| {
         let traffic = incoming.ctx.traffic.clone();
         TargetPermit { home: home.actor.clone(), ticket, tokens: 0, traffic }
     };
-    let refusal = match answer {
-        Ok(PermitResponse::Admitted(ticket)) => return Ok(held(ticket)),
+    let refusal = match response {
+        Ok(PermitResponse::Admitted(ticket)) => return Ok(new_permit(ticket)),
         Ok(PermitResponse::Refused(refusal)) => refusal,
         Ok(PermitResponse::Queued(ticket, outcome)) => {
             // Create the guard before waiting, so that a cancelled request leaves the queue.
-            let permit = held(ticket);
+            let permit = new_permit(ticket);
             tokio::select! {
                 () = incoming.cancel.cancelled() => Refusal::not_run(NotRun::Expired, Duration::ZERO),
                 outcome = outcome => match outcome {
@@ -167,7 +167,7 @@
     generate: peer::Generate,
     mut sink: ResponseSink,
 ) {
-    let record = match record(incoming.ctx, &generate.target) {
+    let record = match find_record(incoming.ctx, &generate.target) {
         Ok(record) => record,
         Err(refused) => return sink.refuse(refused).await,
     };
@@ -191,7 +191,7 @@
     let request_id: RequestId = parse_id(&incoming.request_id).map_err(bad)?;
     let trainer = parse_id(&generate.trainer).map_err(bad)?;
     let home = incoming.ctx.homes.home(incoming.ctx, record);
-    let ask = AdmissionRequest {
+    let admission = AdmissionRequest {
         trainer: Some(trainer),
         window: Some(VersionWindow {
             floor: ids::ModelVersion::new(generate.floor),
@@ -199,18 +199,18 @@
         }),
         deadline: deadline(incoming),
     };
-    let mut permit = acquire_permit(incoming, &home, ask).await?;
+    let mut permit = acquire_permit(incoming, &home, admission).await?;
     if let Some(load) = load_of(&home).await {
         sink.item(ResponseItem { body: Some(response_item::Body::Load(load)) }).await;
     }
     let engine = EngineClient::new(&record.address, incoming.ctx.traffic_http.clone());
-    let order = GenerateRequest {
+    let request = GenerateRequest {
         request_id: request_id.clone(),
         prompt: generate.prompt,
         max_tokens: TokenCount::new(generate.max_tokens),
         seed: generate.seed,
     };
-    let started = engine.generate(&order, &incoming.traceparent).await;
+    let started = engine.generate(&request, &incoming.traceparent).await;
     let mut stream = started.map_err(|error| wire_target_error(&error))?;
     loop {
         let line = tokio::select! {
@@ -254,7 +254,7 @@
 
 /// Sends a plain request, once.
 pub async fn plain(incoming: &IncomingRequest<'_>, call: peer::PlainCall, mut sink: ResponseSink) {
-    let record = match record(incoming.ctx, &call.target) {
+    let record = match find_record(incoming.ctx, &call.target) {
         Ok(record) => record,
         Err(refused) => return sink.refuse(refused).await,
     };
@@ -279,8 +279,8 @@
     let request_id: RequestId =
         parse_id(&incoming.request_id).map_err(|error| wire_bad_request(error.to_string()))?;
     let home = incoming.ctx.homes.home(incoming.ctx, record);
-    let ask = AdmissionRequest { trainer: None, window: None, deadline: deadline(incoming) };
-    let _permit = acquire_permit(incoming, &home, ask).await?;
+    let admission = AdmissionRequest { trainer: None, window: None, deadline: deadline(incoming) };
+    let _permit = acquire_permit(incoming, &home, admission).await?;
     let client = PlainClient::new(&record.address, incoming.ctx.traffic_http.clone());
     let request = PlainRequest {
         request_id,
@@ -289,18 +289,18 @@
         body: call.body,
         timeout: incoming.time_left,
     };
-    let answer = client.call(&request, &incoming.traceparent).await;
-    let answer = answer.map_err(|error| wire_target_error(&error))?;
+    let response = client.call(&request, &incoming.traceparent).await;
+    let response = response.map_err(|error| wire_target_error(&error))?;
     Ok(PlainPart {
-        status: u32::from(answer.status),
-        content_type: answer.content_type,
-        body: answer.body,
+        status: u32::from(response.status),
+        content_type: response.content_type,
+        body: response.body,
     })
 }
 
 /// Scores a sample.
 pub async fn score(incoming: &IncomingRequest<'_>, score: peer::Score, mut sink: ResponseSink) {
-    let record = match record(incoming.ctx, &score.target) {
+    let record = match find_record(incoming.ctx, &score.target) {
         Ok(record) => record,
         Err(refused) => return sink.refuse(refused).await,
     };
@@ -309,16 +309,16 @@
         return forward(incoming, &location, body, sink).await;
     }
     let home = incoming.ctx.homes.home(incoming.ctx, &record);
-    let ask = AdmissionRequest { trainer: None, window: None, deadline: deadline(incoming) };
-    let _permit = match acquire_permit(incoming, &home, ask).await {
+    let admission = AdmissionRequest { trainer: None, window: None, deadline: deadline(incoming) };
+    let _permit = match acquire_permit(incoming, &home, admission).await {
         Ok(permit) => permit,
         Err(refused) => return sink.refuse(refused).await,
     };
     let client = PlainClient::new(&record.address, incoming.ctx.traffic_http.clone());
     let request = ScoreRequest { prompt: score.prompt, text: score.text };
     match client.score(&request).await {
-        Ok(answer) => {
-            let scored = Scored { score: answer.score };
+        Ok(response) => {
+            let scored = Scored { score: response.score };
             sink.item(ResponseItem { body: Some(response_item::Body::Scored(scored)) }).await;
             sink.end(ResponseEnd::default()).await;
         }
@@ -328,20 +328,23 @@
 
 /// Orders the engine to load a version, and announces the order to the home.
 pub async fn order(incoming: &IncomingRequest<'_>, order: peer::SwapOrder, mut sink: ResponseSink) {
-    let record = match record(incoming.ctx, &order.target) {
+    let record = match find_record(incoming.ctx, &order.target) {
         Ok(record) => record,
         Err(refused) => return sink.refuse(refused).await,
     };
     let home = incoming.ctx.homes.home(incoming.ctx, &record);
     let version = ids::ModelVersion::new(order.version);
-    let life = Duration::from_millis(order.life_ms).min(incoming.time_left);
-    let begin = BeginOrder { version, deadline: incoming.ctx.clock.now() + life };
+    let lifetime = Duration::from_millis(order.life_ms).min(incoming.time_left);
+    let begin = BeginOrder { version, deadline: incoming.ctx.clock.now() + lifetime };
     if home.actor.ask(begin).await.is_err() {
         return sink.refuse(wire_not_run(NotRun::Stopping, UNKNOWN_TARGET_RETRY_DELAY)).await;
     }
     let engine = EngineClient::new(&record.address, incoming.ctx.control_http.clone());
-    let request =
-        OrderRequest { version, token: FencingToken::new(order.token), life_ms: wire_millis(life) };
+    let request = OrderRequest {
+        version,
+        token: FencingToken::new(order.token),
+        life_ms: wire_millis(lifetime),
+    };
     let outcome = order_outcome(engine.order(&request).await);
     // Sending fails only when the box stops.
     let _stopped = home.actor.ask(EndOrder { version, outcome }).await;
@@ -355,8 +358,8 @@
     sink.end(ResponseEnd::default()).await;
 }
 
-fn order_outcome(answer: Result<OrderResponse, TargetError>) -> OrderOutcome {
-    match answer {
+fn order_outcome(response: Result<OrderResponse, TargetError>) -> OrderOutcome {
+    match response {
         Ok(OrderResponse::Done) => OrderOutcome::Done,
         Ok(OrderResponse::Refused { .. }) => OrderOutcome::Refused,
         Err(error) if error.definitely_not_run() => OrderOutcome::Refused,
@@ -366,7 +369,7 @@
 
 /// Reads the engine's current state.
 pub async fn read(incoming: &IncomingRequest<'_>, read: peer::ReadReplica, mut sink: ResponseSink) {
-    let record = match record(incoming.ctx, &read.target) {
+    let record = match find_record(incoming.ctx, &read.target) {
         Ok(record) => record,
         Err(refused) => return sink.refuse(refused).await,
     };
