--- a/crates/gannetwayd/src/http/plain.rs
+++ b/crates/gannetwayd/src/http/plain.rs
@@ -31,8 +31,8 @@
 const MAX_REQUEST_TIMEOUT: Duration = Duration::from_mins(10);
 /// Retry budget earned per first attempt, in thousandths of a retry.
 const RETRY_THOUSANDTHS: u64 = 100;
-/// Minimum retry budget kept for periods of low traffic.
-const RETRY_RESERVE: u64 = 10;
+/// Maximum, and initial, number of retries that the budget holds.
+const MAX_SAVED_RETRIES: u64 = 10;
 /// Backoff between retries.
 const BACKOFF: Backoff = Backoff::new(Duration::from_millis(10), Duration::from_millis(500));
 /// Retry delay reported to callers when no target of a service is available.
@@ -54,7 +54,7 @@
     fn default() -> Self {
         Self {
             chooser: Mutex::new(TargetChooser::with_first_limit(MAX_CALLS_PER_TARGET)),
-            budget: Mutex::new(RetryBudget::new(RETRY_THOUSANDTHS, RETRY_RESERVE)),
+            budget: Mutex::new(RetryBudget::new(RETRY_THOUSANDTHS, MAX_SAVED_RETRIES)),
         }
     }
 }
