--- a/crates/gannetwayd/src/apply.rs
+++ b/crates/gannetwayd/src/apply.rs
@@ -1,4 +1,4 @@
-//! Writes a change of configuration: accepted means confirmed.
+//! Applies configuration changes. A change is accepted only when its write is confirmed.
 
 use std::time::Duration;
 
@@ -11,47 +11,47 @@
 
 use crate::documents::CONFIG_NAME;
 
-/// Tries before a change is given back as not accepted.
-const TRIES: u32 = 8;
-/// Most of the pause between tries, in milliseconds.
-const PAUSE_MS: u64 = 100;
+/// Maximum number of attempts to write a change.
+const MAX_WRITE_ATTEMPTS: u32 = 8;
+/// Maximum delay between attempts, in milliseconds.
+const MAX_RETRY_DELAY_MS: u64 = 100;
 
-/// What came of a change.
+/// An accepted change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AppliedChange {
-    /// The configuration that holds it.
+    /// The configuration that contains the change.
     pub config: FleetConfig,
 }
 
-enum TryEnd {
+enum AttemptResult {
     Accepted(FleetConfig),
-    Again(StoreError),
+    Retry(StoreError),
 }
 
 /// Adds or replaces a pool. With `if_generation`, a pool changed after that generation is a
-/// conflict. `write_id` names the change; a repeat under the same id is harmless.
+/// conflict. `write_id` is the idempotency key of the change.
 pub async fn apply_pool(
     store: &impl ObjectStore,
     spec: PoolSpec,
     if_generation: Option<Generation>,
     write_id: &str,
 ) -> Result<AppliedChange, ErrorBody> {
-    let mut last = StoreError::Unavailable;
+    let mut last_error = StoreError::Unavailable;
     let mut maybe_written = false;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_WRITE_ATTEMPTS {
         match try_apply(store, &spec, if_generation, write_id).await? {
-            TryEnd::Accepted(config) => return Ok(AppliedChange { config }),
-            TryEnd::Again(error) => {
+            AttemptResult::Accepted(config) => return Ok(AppliedChange { config }),
+            AttemptResult::Retry(error) => {
                 maybe_written |= error == StoreError::Unknown;
-                last = error;
+                last_error = error;
             }
         }
-        let pause = rand::rng().random_range(0..=PAUSE_MS);
+        let pause = rand::rng().random_range(0..=MAX_RETRY_DELAY_MS);
         time::sleep(Duration::from_millis(pause)).await;
     }
     let kind = if maybe_written { ErrorKind::Unknown } else { ErrorKind::NotRun };
     let message =
-        format!("the change was not confirmed ({last}): apply it again, which is harmless");
+        format!("the change was not confirmed ({last_error}): apply it again, which is safe");
     Err(ErrorBody::new(kind, message))
 }
 
@@ -60,24 +60,24 @@
     spec: &PoolSpec,
     if_generation: Option<Generation>,
     write_id: &str,
-) -> Result<TryEnd, ErrorBody> {
+) -> Result<AttemptResult, ErrorBody> {
     let key = ObjectKey::new(ObjectKind::Config, CONFIG_NAME);
     let (version, current) = match read_config(store, &key).await {
         Ok(read) => read,
         Err(error @ StoreError::BadValue { .. }) => {
             return Err(ErrorBody::new(ErrorKind::Conflict, error.to_string()));
         }
-        Err(error) => return Ok(TryEnd::Again(error)),
+        Err(error) => return Ok(AttemptResult::Retry(error)),
     };
     if let Some(entry) = current.pools.get(&spec.name) {
-        // An earlier try took effect and its answer was lost.
+        // An earlier attempt took effect, but its response was lost.
         if entry.write_id == write_id {
-            return Ok(TryEnd::Accepted(current));
+            return Ok(AttemptResult::Accepted(current));
         }
         if if_generation.is_some_and(|seen| entry.changed > seen) {
             let message = format!(
-                "pool {} was changed in generation {} by somebody else (write {}): look at it, \
-                 then apply again",
+                "pool {} was changed in generation {} by another write ({}): review it, then \
+                 apply the change again",
                 spec.name, entry.changed, entry.write_id
             );
             return Err(ErrorBody::new(ErrorKind::Conflict, message));
@@ -87,8 +87,8 @@
     let value = serde_json::to_value(&next)
         .map_err(|error| ErrorBody::new(ErrorKind::BadRequest, error.to_string()))?;
     match store.write(&key, version, value).await {
-        Ok(_) => Ok(TryEnd::Accepted(next)),
-        Err(error) => Ok(TryEnd::Again(error)),
+        Ok(_) => Ok(AttemptResult::Accepted(next)),
+        Err(error) => Ok(AttemptResult::Retry(error)),
     }
 }
 
--- a/crates/gannetwayd/src/daemon.rs
+++ b/crates/gannetwayd/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts a box, runs it, and stops it without cutting requests.
+//! Starts a box and stops it gracefully.
 
 use std::io::{self, Write};
 use std::net::SocketAddr;
@@ -18,39 +18,39 @@
 use wire::peer::{TakeOver, request};
 
 use crate::clock::{ProcessClock, incarnation_from_wall_clock};
-use crate::conductor::{ConductorActor, ReleaseRollouts, RolloutBoard};
-use crate::context::{BoxContext, BoxParts, Documents, Place, new_request};
+use crate::context::{BoxContext, BoxLocation, BoxParts, Documents, new_request};
+use crate::coordinator::{CoordinatorActor, ReleaseRollouts, RolloutTable};
 use crate::documents::DocumentActor;
 use crate::home::HomeRegistry;
 use crate::http::{self, HttpState};
-use crate::keeper::{GivenUp, HandOverSteps, KeeperHandle, KeeperKey, KeeperRegistry};
+use crate::keeper::{HandOverReply, HandOverSteps, KeeperHandle, KeeperKey, KeeperRegistry};
 use crate::members::{LeaveFleet, MemberActor};
 use crate::metrics::BoxMetrics;
 use crate::peer::{BoxHandler, serve_local};
 use crate::settings::Settings;
 use crate::trace::HopTracer;
 
-/// Time between looks at what a planned stop still waits for.
-const DRAIN_LOOK: Duration = Duration::from_millis(50);
-/// Share of the drain limit that attempts at samples may take, as one part in this many.
-const ATTEMPT_PARTS: u32 = 3;
-/// Longest wait for a successor's answer.
-const HAND_OVER_TIME: Duration = Duration::from_secs(3);
+/// Interval at which a planned stop checks for remaining work.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Divisor of the drain limit that gives the time for attempts in flight to finish.
+const ATTEMPT_DRAIN_DIVISOR: u32 = 3;
+/// Timeout for the successor's response.
+const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A running box.
 #[derive(Debug)]
 pub struct RunningBox {
-    /// Its parts.
+    /// State shared by all parts of the box.
     pub ctx: BoxContext,
-    /// Where callers come in.
+    /// Bound address for callers.
     pub caller_address: SocketAddr,
     http: HttpState,
     members: ActorRef<MemberActor>,
-    conductor: ActorRef<ConductorActor>,
+    coordinator: ActorRef<CoordinatorActor>,
     stop_http: CancellationToken,
 }
 
-/// Binds the box's addresses and starts all its parts. Call it on the traffic runtime;
+/// Binds the box's addresses and starts all its parts. Must be called on the traffic runtime;
 /// `control` is the runtime of the control thread.
 pub async fn start_box(
     settings: Settings,
@@ -88,19 +88,19 @@
         documents: documents_out,
         homes: HomeRegistry::default(),
         keepers: KeeperRegistry::default(),
-        rollouts: RolloutBoard::default(),
+        rollouts: RolloutTable::default(),
         metrics: BoxMetrics::default(),
         tracer,
         control,
         traffic: Handle::current(),
-        platform_answers: AtomicBool::new(true),
+        platform_available: AtomicBool::new(true),
         local,
         leaving: CancellationToken::new(),
         stop: stop.clone(),
     });
     let members = MemberActor::start(&ctx, members_in);
     let documents = DocumentActor::start(&ctx, documents_in);
-    let conductor = ConductorActor::start(&ctx);
+    let coordinator = CoordinatorActor::start(&ctx);
     let handler = BoxHandler {
         ctx: Arc::clone(&ctx),
         members: members.clone(),
@@ -114,37 +114,39 @@
         .with_graceful_shutdown(stop_http.clone().cancelled_owned());
     tokio::spawn(async move { served.await });
     log::info!(target: "box", id:% = ctx.me.id, callers:% = caller_address, peers:% = ctx.me.address; "serving");
-    announce(&ctx, caller_address, peer_bound)?;
-    Ok(RunningBox { ctx, caller_address, http, members, conductor, stop_http })
+    print_addresses(&ctx, caller_address, peer_bound)?;
+    Ok(RunningBox { ctx, caller_address, http, members, coordinator, stop_http })
 }
 
-/// One line on standard output, for whoever started the box on free ports.
-fn announce(ctx: &BoxContext, callers: SocketAddr, bound: SocketAddr) -> io::Result<()> {
+/// Prints the bound addresses to standard output, for processes that start a box on free ports.
+fn print_addresses(ctx: &BoxContext, callers: SocketAddr, bound: SocketAddr) -> io::Result<()> {
     let mut out = io::stdout().lock();
     writeln!(out, "listening {callers} peers {} bound {bound}", ctx.me.address)?;
     out.flush()
 }
 
 impl RunningBox {
-    /// Stops the box as planned: says so, hands its duties over, finishes what is in flight.
-    /// Gives the number of requests cut, which is zero unless the limit ran out.
+    /// Stops the box gracefully: announces the stop, hands over its steps and waits for requests
+    /// in flight. Returns the number of aborted requests, which is zero unless the time limit was
+    /// reached.
     pub async fn stop(self) -> usize {
         let ctx = &self.ctx;
         let limit = time::Instant::now() + ctx.settings.drain_notice + ctx.settings.drain_limit;
         log::info!(target: "box", id:% = ctx.me.id; "leaving");
         ctx.leaving.cancel();
-        // Actors are gone only when the box has stopped.
+        // Sending fails only when the box has stopped.
         let _gone = self.members.tell(LeaveFleet).await;
-        let _gone = self.conductor.tell(ReleaseRollouts).await;
-        let attempts_until = time::Instant::now() + ctx.settings.drain_limit / ATTEMPT_PARTS;
+        let _gone = self.coordinator.tell(ReleaseRollouts).await;
+        let attempts_until =
+            time::Instant::now() + ctx.settings.drain_limit / ATTEMPT_DRAIN_DIVISOR;
         let notice = time::sleep(ctx.settings.drain_notice);
         tokio::join!(notice, self.hand_over_all(attempts_until));
         self.stop_http.cancel();
-        let cut = self.wait_for_requests(limit).await;
+        let aborted = self.wait_for_requests(limit).await;
         ctx.stop.cancel();
         ctx.tracer.finish();
-        log::info!(target: "box", id:% = ctx.me.id, requests_cut = cut; "stopped");
-        cut
+        log::info!(target: "box", id:% = ctx.me.id, requests_cut = aborted; "stopped");
+        aborted
     }
 
     async fn hand_over_all(&self, attempts_until: time::Instant) {
@@ -153,14 +155,14 @@
         futures::future::join_all(each).await;
     }
 
-    /// Waits for attempts under way, then gives the steps to a successor.
+    /// Waits for attempts in flight, then hands the steps over to a successor.
     async fn hand_over(&self, key: &KeeperKey, handle: &KeeperHandle, until: time::Instant) {
         let adopt = loop {
             let force = time::Instant::now() >= until;
             match handle.actor.ask(HandOverSteps { force }).await {
-                Ok(GivenUp::Steps(adopt)) => break adopt,
-                Ok(GivenUp::Busy) => time::sleep(DRAIN_LOOK).await,
-                Ok(GivenUp::Nothing) | Err(_) => return,
+                Ok(HandOverReply::Steps(adopt)) => break adopt,
+                Ok(HandOverReply::Busy) => time::sleep(DRAIN_POLL_INTERVAL).await,
+                Ok(HandOverReply::Nothing) | Err(_) => return,
             }
         };
         let ctx = &self.ctx;
@@ -169,10 +171,10 @@
             let lease = key.lease().to_string();
             members
                 .owner_in(ctx.clock.now(), &ctx.me.domain, &lease)
-                .map(|record| ctx.place_of(record))
+                .map(|record| ctx.location_of(record))
         };
-        let Some(place) = successor.filter(|place| *place != Place::Here) else {
-            log::warn!(target: "keeper", trainer:% = key; "no successor, the trainer opens its steps again");
+        let Some(location) = successor.filter(|location| *location != BoxLocation::Here) else {
+            log::warn!(target: "keeper", trainer:% = key; "no successor; the trainer must reopen its steps");
             return;
         };
         let snapshots =
@@ -183,17 +185,17 @@
             token: adopt.token.get(),
             snapshots: snapshots.collect(),
         };
-        let request = new_request(request::Body::TakeOver(take), "", HAND_OVER_TIME);
-        let taken = match ctx.call(&place, request).await {
-            Ok(mut stream) => stream.next(HAND_OVER_TIME).await.map(|_end| ()),
+        let request = new_request(request::Body::TakeOver(take), "", HAND_OVER_TIMEOUT);
+        let taken = match ctx.call(&location, request).await {
+            Ok(mut stream) => stream.next(HAND_OVER_TIMEOUT).await.map(|_end| ()),
             Err(error) => Err(error),
         };
         match taken {
             Ok(()) => {
-                log::info!(target: "keeper", trainer:% = key, to:? = place; "steps handed over");
+                log::info!(target: "keeper", trainer:% = key, to:? = location; "steps handed over");
             }
             Err(error) => {
-                log::warn!(target: "keeper", trainer:% = key, error:% = error; "hand-over failed, the trainer opens its steps again");
+                log::warn!(target: "keeper", trainer:% = key, error:% = error; "hand-over failed; the trainer must reopen its steps");
             }
         }
     }
@@ -204,7 +206,7 @@
             if left == 0 || time::Instant::now() >= limit {
                 return left;
             }
-            time::sleep(DRAIN_LOOK).await;
+            time::sleep(DRAIN_POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/gannetwayd/src/http/commands.rs
+++ b/crates/gannetwayd/src/http/commands.rs
@@ -1,4 +1,4 @@
-//! Requests that change something.
+//! Handlers of requests that change state.
 
 use std::time::Duration;
 
@@ -20,21 +20,21 @@
 use crate::context::{new_request, new_request_id};
 use crate::documents::OfferConfig;
 use crate::http::HttpState;
-use crate::http::answer::{
-    Failure, WholeBody, http_span, read_json, read_value, require_key, whole_json,
+use crate::http::response::{
+    ApiError, FullBody, http_span, json_with_digest, read_json, read_value, require_key,
 };
 use crate::keeper::KeeperKey;
-use crate::route::StepAnswer;
+use crate::route::StepResponse;
 
-/// Time for a request about a step, beside a pull's own wait: one try and a second look. A
-/// trainer that finds no keeper is told so, and asks again, perhaps at another box.
-const STEP_TIME: Duration = Duration::from_millis(1_200);
-/// Longest wait of a pull, in milliseconds.
-const MOST_WAIT_MS: u64 = 30_000;
+/// Timeout of a request about a step, in addition to a pull's own wait. Allows for one call and a
+/// retry; when no keeper is found, the trainer retries, possibly at another box.
+const STEP_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Maximum wait of a pull, in milliseconds.
+const MAX_PULL_WAIT_MS: u64 = 30_000;
 
-type Answer = Result<Response, Failure>;
+type HttpResult = Result<Response, ApiError>;
 
-/// A step as named by the path.
+/// Path parameters that identify a step.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StepPath {
     pool: String,
@@ -43,15 +43,15 @@
 }
 
 impl StepPath {
-    fn key(&self) -> Result<KeeperKey, Failure> {
+    fn key(&self) -> Result<KeeperKey, ApiError> {
         Ok(KeeperKey { pool: read_value(&self.pool)?, trainer: read_value(&self.trainer)? })
     }
 
-    fn step(&self) -> Result<StepNumber, Failure> {
+    fn step(&self) -> Result<StepNumber, ApiError> {
         read_value(&self.step)
     }
 
-    fn step_ref(&self, seen: FencingToken) -> Result<StepRef, Failure> {
+    fn step_ref(&self, seen: FencingToken) -> Result<StepRef, ApiError> {
         Ok(StepRef {
             pool: self.pool.clone(),
             trainer: self.trainer.clone(),
@@ -67,8 +67,8 @@
     State(state): State<HttpState>,
     Path(path): Path<StepPath>,
     headers: HeaderMap,
-    WholeBody(body): WholeBody,
-) -> Answer {
+    FullBody(body): FullBody,
+) -> HttpResult {
     let open: OpenBody = read_json(&body)?;
     let spec = open.spec(path.step()?);
     spec.check().map_err(|error| ErrorBody::new(ErrorKind::BadRequest, error.to_string()))?;
@@ -83,19 +83,19 @@
         groups: groups.collect(),
         held: open.held.as_bytes().to_vec(),
     });
-    let answer = call_keeper(&state, &path, &headers, body, Duration::ZERO).await?;
-    whole_json(&step_state(answer.state)?)
+    let response = call_keeper(&state, &path, &headers, body, Duration::ZERO).await?;
+    json_with_digest(&step_state(response.state)?)
 }
 
-/// Pulls samples.
+/// Pulls finished samples of a step.
 pub async fn pull_step(
     State(state): State<HttpState>,
     Path(path): Path<StepPath>,
     headers: HeaderMap,
-    WholeBody(body): WholeBody,
-) -> Answer {
+    FullBody(body): FullBody,
+) -> HttpResult {
     let pull: PullBody = read_json(&body)?;
-    let wait_ms = pull.wait_ms.min(MOST_WAIT_MS);
+    let wait_ms = pull.wait_ms.min(MAX_PULL_WAIT_MS);
     let body = request::Body::PullStep(PullStep {
         step: Some(path.step_ref(pull.seen)?),
         held: pull.held.as_bytes().to_vec(),
@@ -103,25 +103,25 @@
         wait_ms,
     });
     let wait = Duration::from_millis(wait_ms);
-    let answer = call_keeper(&state, &path, &headers, body, wait).await?;
-    let samples: Result<Vec<Sample>, Failure> = answer.samples.into_iter().map(sample).collect();
-    whole_json(&PullResponse { samples: samples?, state: step_state(answer.state)? })
+    let response = call_keeper(&state, &path, &headers, body, wait).await?;
+    let samples: Result<Vec<Sample>, ApiError> = response.samples.into_iter().map(sample).collect();
+    json_with_digest(&PullResponse { samples: samples?, state: step_state(response.state)? })
 }
 
-/// Names a newer version.
+/// Sets a newer weight version for a step.
 pub async fn advance_step(
     State(state): State<HttpState>,
     Path(path): Path<StepPath>,
     headers: HeaderMap,
-    WholeBody(body): WholeBody,
-) -> Answer {
+    FullBody(body): FullBody,
+) -> HttpResult {
     let advance: AdvanceBody = read_json(&body)?;
     let body = request::Body::AdvanceStep(AdvanceStep {
         step: Some(path.step_ref(advance.seen)?),
         version: advance.version.get(),
     });
-    let answer = call_keeper(&state, &path, &headers, body, Duration::ZERO).await?;
-    whole_json(&step_state(answer.state)?)
+    let response = call_keeper(&state, &path, &headers, body, Duration::ZERO).await?;
+    json_with_digest(&step_state(response.state)?)
 }
 
 /// Closes a step.
@@ -129,30 +129,30 @@
     State(state): State<HttpState>,
     Path(path): Path<StepPath>,
     headers: HeaderMap,
-    WholeBody(body): WholeBody,
-) -> Answer {
-    let held: CloseBody = read_json(&body)?;
-    let step = path.step_ref(held.seen)?;
+    FullBody(body): FullBody,
+) -> HttpResult {
+    let close: CloseBody = read_json(&body)?;
+    let step = path.step_ref(close.seen)?;
     let body = request::Body::CloseStep(CloseStep { step: Some(step) });
     call_keeper(&state, &path, &headers, body, Duration::ZERO).await?;
-    whole_json(&serde_json::json!({ "closed": path.step()? }))
+    json_with_digest(&serde_json::json!({ "closed": path.step()? }))
 }
 
-/// Tells a step's state; a query, but found by the same way.
-pub async fn step_status(state: &HttpState, path: &StepPath, headers: &HeaderMap) -> Answer {
+/// Returns the state of a step. A query, but routed to the keeper like the commands.
+pub async fn step_status(state: &HttpState, path: &StepPath, headers: &HeaderMap) -> HttpResult {
     let step = path.step_ref(FencingToken::default())?;
     let body = request::Body::StepStatus(peer::StepStatus { step: Some(step) });
-    let answer = call_keeper(state, path, headers, body, Duration::ZERO).await?;
-    whole_json(&step_state(answer.state)?)
+    let response = call_keeper(state, path, headers, body, Duration::ZERO).await?;
+    json_with_digest(&step_state(response.state)?)
 }
 
-/// What an operator may state along with a pool.
+/// Query parameters of a pool change.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
 pub struct ApplyQuery {
-    /// The generation the operator looked at; a later change of the pool is a conflict.
+    /// Generation that the change is based on; a later change of the pool is a conflict.
     if_generation: Option<Generation>,
-    /// Names the change, so that a repeat is harmless.
+    /// Idempotency key of the change.
     write_id: Option<String>,
 }
 
@@ -162,8 +162,8 @@
     Path(pool): Path<String>,
     Query(query): Query<ApplyQuery>,
     headers: HeaderMap,
-    WholeBody(body): WholeBody,
-) -> Answer {
+    FullBody(body): FullBody,
+) -> HttpResult {
     require_key(&state.ctx, &headers)?;
     let spec: PoolSpec = read_json(&body)?;
     spec.check().map_err(|error| ErrorBody::new(ErrorKind::BadRequest, error.to_string()))?;
@@ -175,9 +175,9 @@
     let applied = apply::apply_pool(&state.ctx.store, spec, query.if_generation, &write_id).await?;
     let generation = applied.config.generation;
     log::info!(target: "config", pool:% = pool, generation:% = generation, write:% = write_id; "change accepted");
-    // The actor is gone only when the box stops; the platform has the change by now.
+    // Sending fails only when the box stops; the change is already stored on the platform.
     let _stopped = state.documents.tell(OfferConfig(applied.config)).await;
-    whole_json(&AppliedBody { generation })
+    json_with_digest(&AppliedBody { generation })
 }
 
 async fn call_keeper(
@@ -186,21 +186,22 @@
     headers: &HeaderMap,
     body: request::Body,
     wait: Duration,
-) -> Result<StepAnswer, Failure> {
+) -> Result<StepResponse, ApiError> {
     let key = path.key()?;
     let span = http_span(&state.ctx, "http.step", headers);
-    // The directory sets the time left for each try.
-    let request = new_request(body, span.traceparent(), wait + STEP_TIME);
-    let deadline = state.ctx.clock.now() + wait + STEP_TIME;
+    // The directory sets the time left of each call.
+    let request = new_request(body, span.traceparent(), wait + STEP_TIMEOUT);
+    let deadline = state.ctx.clock.now() + wait + STEP_TIMEOUT;
     Ok(state.directory.call(&state.ctx, &key, request, wait, deadline).await?)
 }
 
-fn broken(message: &str) -> Failure {
-    Failure(ErrorBody::new(ErrorKind::Unknown, message))
+fn unknown_outcome(message: &str) -> ApiError {
+    ApiError(ErrorBody::new(ErrorKind::Unknown, message))
 }
 
-fn step_state(state: Option<peer::StepState>) -> Result<api::StepState, Failure> {
-    let state = state.ok_or_else(|| broken("the keeper told no state: ask again"))?;
+fn step_state(state: Option<peer::StepState>) -> Result<api::StepState, ApiError> {
+    let state = state
+        .ok_or_else(|| unknown_outcome("the keeper returned no state: send the request again"))?;
     let count = |number: u64| usize::try_from(number).unwrap_or(usize::MAX);
     Ok(api::StepState {
         token: FencingToken::new(state.token),
@@ -223,7 +224,7 @@
     })
 }
 
-fn sample(item: SampleItem) -> Result<Sample, Failure> {
+fn sample(item: SampleItem) -> Result<Sample, ApiError> {
     let spans = item.spans.iter().map(|span| VersionSpan {
         version: ModelVersion::new(span.version),
         tokens: TokenCount::new(span.tokens),
--- a/crates/gannetwayd/src/roles.rs
+++ b/crates/gannetwayd/src/roles.rs
@@ -1,4 +1,4 @@
-//! The roles of a deployment on the users' platform, each by a word on the command line.
+//! Roles of a deployment on the users' platform, selected by a subcommand.
 
 use std::io;
 use std::process::ExitCode;
@@ -10,7 +10,7 @@
 use tokio::net::TcpListener;
 use tokio::runtime::Builder;
 
-use crate::BAD_SETTINGS;
+use crate::INVALID_SETTINGS_EXIT;
 
 #[derive(Debug, Parser)]
 #[command(name = "gannetwayd", version)]
@@ -21,20 +21,20 @@
 
 #[derive(Debug, Subcommand)]
 enum Role {
-    /// Takes callers' requests; keeps nothing.
+    /// Serves callers' requests; keeps no state.
     Entry(RawNodeSettings),
-    /// Keeps jobs on its disk, runs their items, orders engines.
+    /// Stores jobs on its disk, runs their items and orders weight loads at engines.
     Keep(RawStorageSettings),
 }
 
-/// Threads that wait for the disk: a round of the log, a copy from each of two boxes, a clean-up.
-/// Each has memory of its own.
-const DISK_THREADS: usize = 4;
+/// Maximum number of blocking threads for disk I/O: log writes, copies from two boxes, clean-up.
+/// Limited because each thread has its own stack.
+const MAX_BLOCKING_THREADS: usize = 4;
 
-/// Words that name a role.
+/// Subcommands that select a role.
 const ROLES: [&str; 2] = ["entry", "keep"];
 
-/// Runs the role that the command line names; `None` when it names none.
+/// Runs the role selected on the command line; returns `None` if there is none.
 pub fn run_role() -> Option<ExitCode> {
     let first = std::env::args().nth(1)?;
     if !ROLES.contains(&first.as_str()) {
@@ -44,7 +44,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(RoleError::Settings(error)) => {
             eprintln!("gannetwayd: {error}");
-            ExitCode::from(BAD_SETTINGS)
+            ExitCode::from(INVALID_SETTINGS_EXIT)
         }
         Err(RoleError::Io(error)) => {
             eprintln!("gannetwayd: {error}; check the addresses and the data folder");
@@ -62,10 +62,11 @@
 }
 
 fn start_role(role: Role) -> Result<(), RoleError> {
-    // One thread: these boxes have a fraction of one core, and a second thread would only add
-    // the price of waking it.
-    let runtime =
-        Builder::new_current_thread().enable_all().max_blocking_threads(DISK_THREADS).build()?;
+    // These boxes have a fraction of one core, so a second thread would only add wake-up costs.
+    let runtime = Builder::new_current_thread()
+        .enable_all()
+        .max_blocking_threads(MAX_BLOCKING_THREADS)
+        .build()?;
     let flush = match role {
         Role::Entry(raw) => {
             let settings = raw.check()?;
