--- a/crates/node/src/feed/cache.rs
+++ b/crates/node/src/feed/cache.rs
@@ -1,8 +1,9 @@
-//! What a box knows of one kind of object, and what has changed since a revision.
+//! The objects of one kind as a box has received them, and the changes since a revision.
 //!
-//! Revisions are the store's own and rise with every change of any object, so a box may go on at
-//! another box, or at the store itself, with the revision that it has reached. Hundreds of boxes ask for the same
-//! changes, so an object is encoded once, when it comes, and changes are found by their revision.
+//! Revisions are assigned by the store and increase with every change of any object, so a box can
+//! continue from its last revision at another box or at the store. Hundreds of boxes request the
+//! same changes, so each object is encoded once, when it arrives, and changes are indexed by
+//! revision.
 
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 
@@ -11,100 +12,101 @@
 use platform::{Changed, Changes, Kind, Listing, Stored};
 use wire::peer::FeedObject;
 
-/// Removals that are remembered at least.
-const LEAST_REMOVALS: usize = 512;
-/// Listings after forgotten history that are remembered.
-const MOST_GAPS: usize = 32;
+/// Minimum number of removals to retain.
+const MIN_REMOVALS: usize = 512;
+/// Maximum number of gaps to track.
+const MAX_GAPS: usize = 32;
 
 /// Changes of one kind since a revision.
 #[derive(Debug, Clone, PartialEq)]
-pub struct KindNews {
-    /// All objects are told: whatever is not among them is gone.
+pub struct KindUpdate {
+    /// Whether `objects` is complete: any object not in it has been removed.
     pub full: bool,
     /// New and changed objects.
     pub objects: Vec<FeedObject>,
-    /// Names of objects that are gone; one that came again is among the objects.
+    /// Names of removed objects. An object that was created again is in `objects` instead.
     pub removed: Vec<String>,
-    /// The revision that is reached with them.
+    /// The revision after these changes.
     pub revision: u64,
 }
 
 #[derive(Debug)]
 struct CachedObject {
-    told: FeedObject,
-    /// Revision by which it is news.
-    news_at: u64,
-    /// The service of a target.
+    encoded: FeedObject,
+    /// The revision at which the object last changed.
+    changed_at: u64,
+    /// The service, for targets.
     service: Option<Box<str>>,
 }
 
-/// Which targets somebody hears of.
+/// Selects targets by service.
 #[derive(Debug, Clone, Copy)]
 pub struct ServiceFilter<'a>(Option<&'a [String]>);
 
 impl<'a> ServiceFilter<'a> {
-    /// All targets.
+    /// Passes all targets.
     pub const ALL: Self = Self(None);
 
-    /// Those of these services.
+    /// Passes the targets of these services.
     pub const fn of(services: &'a [String]) -> Self {
         Self(Some(services))
     }
 
-    /// Whatever names no service is told to everybody.
-    fn passes(&self, object: &CachedObject) -> bool {
+    /// Objects without a service pass every filter.
+    fn matches(&self, object: &CachedObject) -> bool {
         let (Some(wanted), Some(service)) = (self.0, &object.service) else { return true };
         wanted.iter().any(|wanted| **wanted == **service)
     }
 }
 
-/// What happened after one revision and before another is not known.
+/// An interval of revisions whose changes are unknown.
 #[derive(Debug, Clone, Copy)]
 struct Gap {
     after: u64,
     before: u64,
 }
 
-/// One kind of object, as far as the store has told it.
+/// Cached objects and removals of one kind.
 #[derive(Debug, Default)]
 pub struct KindCache {
     is_targets: bool,
     objects: HashMap<String, CachedObject>,
-    /// Names of the objects by the revision of their last change.
+    /// Object names, ordered by the revision of their last change.
     by_revision: BTreeSet<(u64, String)>,
     removed: BTreeSet<(u64, String)>,
-    /// When each of the removed was removed.
+    /// Revision of each removal.
     removed_at: HashMap<String, u64>,
-    /// Removals up to this revision are forgotten.
+    /// Removals up to this revision have been discarded.
     floor: u64,
-    /// Where history was forgotten: what came and went between these revisions is not known.
+    /// Intervals that were skipped because the store had compacted its history.
     gaps: VecDeque<Gap>,
-    /// Known up to this revision; zero before the first listing.
+    /// Current revision; zero before the first listing.
     revision: u64,
 }
 
 impl KindCache {
-    /// A cache that has heard nothing.
+    /// Creates an empty cache.
     pub fn new(kind: Kind) -> Self {
         Self { is_targets: kind == Kind::Targets, ..Self::default() }
     }
 
-    /// Takes all objects. Whoever was as far as this box hears how they differ from what was known; hundreds of
-    /// boxes would hear thousands of objects anew whenever the store forgets its history.
-    pub fn listed(&mut self, listing: &Listing) {
+    /// Applies a listing of all objects. Boxes at the previous revision receive only the
+    /// differences: the store compacts its history regularly, and sending every object to hundreds
+    /// of boxes each time is costly.
+    pub fn apply_listing(&mut self, listing: &Listing) {
         if self.revision == 0 || listing.revision < self.revision {
             let (is_targets, revision) = (self.is_targets, listing.revision);
             *self = Self { is_targets, floor: revision, revision, ..Self::default() };
         }
         let listed: HashSet<&str> = listing.objects.iter().map(|stored| &*stored.name).collect();
         let known = self.objects.keys().filter(|name| !listed.contains(name.as_str()));
-        let gone: Vec<String> = known.cloned().collect();
-        for name in gone {
+        let missing: Vec<String> = known.cloned().collect();
+        for name in missing {
             self.remove(&name, listing.revision);
         }
         for stored in &listing.objects {
-            let known = self.objects.get(&stored.name).map(|object| object.told.revision);
-            // One without a revision is another than before for all that is known.
+            let known = self.objects.get(&stored.name).map(|object| object.encoded.revision);
+            // An object without a revision may have changed.
             if known != Some(stored.revision) || stored.revision == 0 {
                 self.put(stored, listing.revision);
             }
@@ -113,25 +115,25 @@
             self.gaps.push_back(Gap { after: self.revision, before: listing.revision });
             self.revision = listing.revision;
         }
-        self.forget_gaps();
-        self.forget_removals();
+        self.prune_gaps();
+        self.prune_removals();
     }
 
-    fn forget_gaps(&mut self) {
-        while self.gaps.len() > MOST_GAPS
+    fn prune_gaps(&mut self) {
+        while self.gaps.len() > MAX_GAPS
             && let Some(gap) = self.gaps.pop_front()
         {
             self.floor = self.floor.max(gap.before);
         }
     }
 
-    /// Whether somebody who has reached `revision` may know objects of which this box has never heard.
-    fn may_know_more(&self, revision: u64) -> bool {
+    /// Whether a box at `revision` may have objects that this cache never contained.
+    fn may_have_unseen_objects(&self, revision: u64) -> bool {
         self.gaps.iter().any(|gap| gap.after < revision && revision < gap.before)
     }
 
-    /// Takes changes that follow what is known.
-    pub fn changed(&mut self, changes: &Changes) {
+    /// Applies changes that follow the current revision.
+    pub fn apply_changes(&mut self, changes: &Changes) {
         for change in &changes.changes {
             match change {
                 Changed::Put(stored) => self.put(stored, changes.revision),
@@ -139,43 +141,43 @@
             }
         }
         self.revision = self.revision.max(changes.revision);
-        self.forget_removals();
+        self.prune_removals();
     }
 
-    /// Takes an object that was told with news up to `revision`.
+    /// Inserts an object that came with an update to `revision`.
     fn put(&mut self, stored: &Stored, revision: u64) {
         if let Some(at) = self.removed_at.remove(&stored.name) {
             self.removed.remove(&(at, stored.name.clone()));
         }
         let service = target_service(stored).filter(|_| self.is_targets).map(Box::from);
-        // An object that cannot be read has no revision of its own.
-        let news_at = if stored.revision > 0 { stored.revision } else { revision };
-        let object = CachedObject { told: write_object(stored), news_at, service };
-        let before = self.objects.insert(stored.name.clone(), object);
-        self.forget_revision(before);
-        self.by_revision.insert((news_at, stored.name.clone()));
+        // An unreadable object has no revision of its own.
+        let changed_at = if stored.revision > 0 { stored.revision } else { revision };
+        let object = CachedObject { encoded: encode_object(stored), changed_at, service };
+        let previous = self.objects.insert(stored.name.clone(), object);
+        self.unindex_object(previous);
+        self.by_revision.insert((changed_at, stored.name.clone()));
     }
 
     fn remove(&mut self, name: &str, revision: u64) {
-        let before = self.objects.remove(name);
-        self.forget_revision(before);
+        let previous = self.objects.remove(name);
+        self.unindex_object(previous);
         if let Some(at) = self.removed_at.insert(name.to_owned(), revision) {
             self.removed.remove(&(at, name.to_owned()));
         }
         self.removed.insert((revision, name.to_owned()));
     }
 
-    fn forget_revision(&mut self, before: Option<CachedObject>) {
-        if let Some(CachedObject { told, news_at, .. }) = before {
-            self.by_revision.remove(&(news_at, told.name));
+    fn unindex_object(&mut self, previous: Option<CachedObject>) {
+        if let Some(CachedObject { encoded, changed_at, .. }) = previous {
+            self.by_revision.remove(&(changed_at, encoded.name));
         }
     }
 
-    /// Forgets the oldest removals when there are more of them than objects: whoever is that far behind hears all
-    /// objects anew, which is less to tell.
-    fn forget_removals(&mut self) {
-        let most = self.objects.len().max(LEAST_REMOVALS);
-        while self.removed.len() > most
+    /// Discards the oldest removals when they outnumber the objects. A box that is further behind
+    /// receives all objects instead, which is the smaller response.
+    fn prune_removals(&mut self) {
+        let limit = self.objects.len().max(MIN_REMOVALS);
+        while self.removed.len() > limit
             && let Some((revision, name)) = self.removed.pop_first()
         {
             self.removed_at.remove(&name);
@@ -183,25 +185,25 @@
         }
     }
 
-    /// Up to which revision it is known; zero for not at all.
+    /// The current revision; zero before the first listing.
     pub const fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// What has changed since `revision`; `None` when nothing has, or nothing is known that new.
-    pub fn since(&self, revision: u64) -> Option<KindNews> {
-        self.since_of(revision, ServiceFilter::ALL)
+    /// Returns the changes since `revision`, or `None` when there are none or the cache is older.
+    pub fn since(&self, revision: u64) -> Option<KindUpdate> {
+        self.since_filtered(revision, ServiceFilter::ALL)
     }
 
-    /// As [`Self::since`], of some targets alone.
-    pub fn since_of(&self, revision: u64, filter: ServiceFilter<'_>) -> Option<KindNews> {
+    /// As [`Self::since`], limited to the targets that pass `filter`.
+    pub fn since_filtered(&self, revision: u64, filter: ServiceFilter<'_>) -> Option<KindUpdate> {
         if self.revision <= revision {
             return None;
         }
-        if revision < self.floor || self.may_know_more(revision) {
-            let objects = self.objects.values().filter(|object| filter.passes(object));
-            let objects = objects.map(|object| object.told.clone()).collect();
-            return Some(KindNews {
+        if revision < self.floor || self.may_have_unseen_objects(revision) {
+            let objects = self.objects.values().filter(|object| filter.matches(object));
+            let objects = objects.map(|object| object.encoded.clone()).collect();
+            return Some(KindUpdate {
                 full: true,
                 objects,
                 removed: Vec::new(),
@@ -210,21 +212,21 @@
         }
         let changed = self.by_revision.range((revision + 1, String::new())..);
         let objects = changed.filter_map(|(_, name)| self.objects.get(name));
-        let objects = objects.filter(|object| filter.passes(object));
-        let objects: Vec<FeedObject> = objects.map(|object| object.told.clone()).collect();
+        let objects = objects.filter(|object| filter.matches(object));
+        let objects: Vec<FeedObject> = objects.map(|object| object.encoded.clone()).collect();
         let removed = self.removed.range((revision + 1, String::new())..);
         let removed: Vec<String> = removed.map(|(_, name)| name.clone()).collect();
-        let news = !objects.is_empty() || !removed.is_empty();
-        news.then_some(KindNews { full: false, objects, removed, revision: self.revision })
+        let has_changes = !objects.is_empty() || !removed.is_empty();
+        has_changes.then_some(KindUpdate { full: false, objects, removed, revision: self.revision })
     }
 }
 
-/// An object as it is told.
-pub fn write_object(stored: &Stored) -> FeedObject {
+/// Encodes an object for the feed.
+pub fn encode_object(stored: &Stored) -> FeedObject {
     FeedObject {
         name: stored.name.clone(),
         revision: stored.revision,
-        // A value that was read as JSON can be written as JSON.
+        // A value that was parsed from JSON serializes without an error.
         value: Bytes::from(serde_json::to_vec(&stored.value).unwrap_or_default()),
     }
 }
--- a/crates/node/src/feed/times.rs
+++ b/crates/node/src/feed/times.rs
@@ -1,35 +1,36 @@
-//! How old news of the store may be.
+//! Age limits for updates of the store.
 
 use std::time::Duration;
 
 use platform::WatchTime;
 
-/// What is left of a bound for the way of the store's answer.
-const WAY: Duration = Duration::from_millis(300);
-/// How much sooner than trust ends a box that tells stops to wait for news.
-const TELL_MARGIN: Duration = Duration::from_millis(400);
-/// Room for the answer of a watch that proves a kind.
+/// Share of the bound reserved for the store's response to arrive.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(300);
+/// Margin by which a feed source stops waiting for updates before its proof expires.
+const SOURCE_MARGIN: Duration = Duration::from_millis(400);
+/// Extra time for the response of a watch that proves a kind.
 const PROOF_SLACK: Duration = Duration::from_millis(200);
-/// A bound shorter than this is no bound that can be kept.
-const LEAST_BOUND: Duration = Duration::from_secs(1);
+/// Minimum bound; shorter ones cannot be met.
+const MIN_BOUND: Duration = Duration::from_secs(1);
 
-/// The times that follow from how soon a change that binds callers must be heeded.
+/// Timeouts derived from the propagation bound for changes that affect callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FeedTimes {
-    /// A box asks the store for itself when the last proof it heard of is older than this.
+    /// A box queries the store itself when the last freshness proof is older than this.
     pub max_proof_age: Duration,
-    /// A box whose oldest proof is older than this does not wait for news.
-    pub tell: Duration,
-    /// The watch that proves a kind to be current. One whose answer is overdue is begun again while the last proof is
-    /// still good.
+    /// A source whose oldest proof exceeds this age responds without waiting for updates.
+    pub max_source_age: Duration,
+    /// Duration of a watch that proves a kind to be current. An overdue watch is restarted while
+    /// the last proof is still valid.
     pub proof: WatchTime,
 }
 
 impl FeedTimes {
-    /// The times where changes must be heeded within `bound` of the store's acknowledgement.
+    /// Returns the times for changes that must take effect within `bound` of the store's
+    /// acknowledgement.
     pub fn for_bound(bound: Duration) -> Self {
-        let hear = bound.max(LEAST_BOUND).saturating_sub(WAY);
-        let proof = WatchTime { wait: hear / 2, slack: PROOF_SLACK };
-        Self { max_proof_age: hear, tell: hear.saturating_sub(TELL_MARGIN), proof }
+        let max_proof_age = bound.max(MIN_BOUND).saturating_sub(RESPONSE_MARGIN);
+        let proof = WatchTime { wait: max_proof_age / 2, slack: PROOF_SLACK };
+        Self { max_proof_age, max_source_age: max_proof_age.saturating_sub(SOURCE_MARGIN), proof }
     }
 }
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -15,7 +15,7 @@
 use tokio::time::{self, Instant};
 use tokio_util::sync::CancellationToken;
 
-use crate::feed::{FedKind, FedNews, binds_callers};
+use crate::feed::{FeedUpdate, KindSubscription, affects_callers};
 use crate::probe::ProbePace;
 use crate::{NodeView, StoreCall};
 
@@ -99,7 +99,7 @@
     /// Up to which revision the kind is known; zero for not at all.
     revision: watch::Sender<u64>,
     /// News from another box, if the kind is fed.
-    news: Option<mpsc::Receiver<FedNews>>,
+    news: Option<mpsc::Receiver<FeedUpdate>>,
 }
 
 impl<S: KindSink> KindWatcher<S> {
@@ -112,14 +112,14 @@
     }
 
     /// Lets another box's news feed this follower; its own watches rest meanwhile.
-    pub fn feed(&mut self) -> FedKind {
+    pub fn feed(&mut self) -> KindSubscription {
         let (sender, news) = mpsc::channel(1);
         self.news = Some(news);
         // The duties tell who feeds.
         if self.kind != Kind::ClusterState {
             self.first = FirstLook::WaitsForFeed;
         }
-        FedKind { kind: self.kind, revision: self.revision.subscribe(), news: sender }
+        KindSubscription { kind: self.kind, revision: self.revision.subscribe(), updates: sender }
     }
 
     /// Lets the first listing be some seconds old, where nothing is decided by what is not in it.
@@ -141,7 +141,7 @@
     }
 
     async fn follow(&mut self) {
-        let mut fed = self.view.feed.freshness().states();
+        let mut fed = self.view.feed.freshness().served_states();
         let mut pace = ProbePace::default();
         let mut ask_at = Instant::now();
         let mut wait = self.usual_time();
@@ -150,8 +150,8 @@
         let listens = news.is_some();
         // The first box of its domain is fed by nobody, and would wait in vain.
         let mut was_fed = false;
-        let mut wants = self.view.feed.wants();
-        let lists_anew = self.kind == Kind::Targets && self.view.feed.is_listener();
+        let mut wants = self.view.feed.service_requests();
+        let lists_anew = self.kind == Kind::Targets && self.view.feed.is_receive_only();
         match self.first {
             FirstLook::Lists => {}
             FirstLook::ListsOld => known = self.list_old().await,
@@ -190,10 +190,10 @@
                     self.view.feed.record_proof(self.kind, self.view.now());
                     pace.answered();
                     wait = self.usual_time();
-                    let lists = matches!(told, FedNews::Listed(_));
+                    let lists = matches!(told, FeedUpdate::Listed(_));
                     let next = self.take(told);
                     if lists && lists_anew {
-                        self.view.feed.know_services(None);
+                        self.view.feed.set_received_services(None);
                     }
                     let is_new = known.is_none_or(|last| last != next);
                     known = Some(next);
@@ -217,7 +217,8 @@
                     wait = PROBE_TIME;
                     log::debug!(target: "node", kind:% = self.kind, error:% = error; "store call failed");
                     if self.kind == Kind::Configuration {
-                        let told = self.may_hear_later && self.view.feed.freshness().answers();
+                        let told = self.may_hear_later
+                            && self.view.feed.freshness().is_source_responding();
                         ask_at = Instant::now() + pace.failed(told);
                     } else {
                         time::sleep(pace.failed(false)).await;
@@ -243,15 +244,15 @@
     }
 
     /// The first news of another box; `None` when nobody tells this one.
-    async fn first_news(&mut self, news: &mut Option<mpsc::Receiver<FedNews>>) -> Option<u64> {
+    async fn first_news(&mut self, news: &mut Option<mpsc::Receiver<FeedUpdate>>) -> Option<u64> {
         let told = tokio::select! {
             biased;
             told = next_news(news) => told,
-            _nobody = time::timeout(FIRST_FEED, self.view.feed.freshness().wait_for_nobody()) => None,
+            _nobody = time::timeout(FIRST_FEED, self.view.feed.freshness().wait_for_no_source()) => None,
         };
         let known = self.take(told?);
         // The same answer told of other kinds, and counts as heard once their tasks have taken them.
-        let mut fed = self.view.feed.freshness().states();
+        let mut fed = self.view.feed.freshness().served_states();
         let _fed = time::timeout(FEED_RETURN, fed.wait_for(|fed| *fed)).await;
         Some(known)
     }
@@ -261,7 +262,7 @@
         self.view.metrics.store_call(self.kind, StoreCall::ListOld);
         match self.view.store.list_old(self.kind).await {
             Ok(listing) => {
-                let known = self.take(FedNews::Listed(listing));
+                let known = self.take(FeedUpdate::Listed(listing));
                 time::sleep(FIRST_GATHER).await;
                 Some(known)
             }
@@ -273,14 +274,14 @@
     }
 
     /// Takes what was told; says up to which revision the kind is known now.
-    fn take(&mut self, told: FedNews) -> u64 {
+    fn take(&mut self, told: FeedUpdate) -> u64 {
         let revision = match told {
-            FedNews::Listed(listing) => {
+            FeedUpdate::Listed(listing) => {
                 self.sink.listed(&listing);
                 self.view.feed.listed(self.kind, &listing);
                 listing.revision
             }
-            FedNews::Changed(changes) => {
+            FeedUpdate::Changed(changes) => {
                 self.sink.changed_all(&changes.changes);
                 self.view.feed.changed(self.kind, &changes);
                 changes.revision
@@ -293,7 +294,7 @@
 
     fn usual_time(&self) -> WatchTime {
         match self.kind {
-            kind if binds_callers(kind) => self.view.feed.times().proof,
+            kind if affects_callers(kind) => self.view.feed.times().proof,
             Kind::ModelVersions => WATCH_TIME,
             Kind::Evacuations => EVACUATION_TIME,
             _ => LONG_TIME,
@@ -305,8 +306,8 @@
 /// it does not come. News, or none where the box is told of all that there is.
 async fn told_instead(
     fed: &mut watch::Receiver<bool>,
-    news: &mut Option<mpsc::Receiver<FedNews>>,
-) -> Option<Option<FedNews>> {
+    news: &mut Option<mpsc::Receiver<FeedUpdate>>,
+) -> Option<Option<FeedUpdate>> {
     tokio::select! {
         biased;
         told = next_news(news) => told.map(Some),
@@ -317,7 +318,7 @@
 }
 
 /// The next news of another box; never any where none is heard.
-async fn next_news(news: &mut Option<mpsc::Receiver<FedNews>>) -> Option<FedNews> {
+async fn next_news(news: &mut Option<mpsc::Receiver<FeedUpdate>>) -> Option<FeedUpdate> {
     match news {
         Some(news) => news.recv().await,
         None => std::future::pending().await,
@@ -348,7 +349,7 @@
     kind: Kind,
     known: Option<u64>,
     time: WatchTime,
-) -> Result<FedNews, StoreError> {
+) -> Result<FeedUpdate, StoreError> {
     time::sleep_until(at).await;
     follow_once(view, kind, known, time).await
 }
@@ -359,13 +360,13 @@
     kind: Kind,
     known: Option<u64>,
     time: WatchTime,
-) -> Result<FedNews, StoreError> {
+) -> Result<FeedUpdate, StoreError> {
     let Some(known) = known else {
         view.metrics.store_call(kind, StoreCall::List);
-        return Ok(FedNews::Listed(view.store.list(kind).await?));
+        return Ok(FeedUpdate::Listed(view.store.list(kind).await?));
     };
     view.metrics.store_call(kind, StoreCall::Watch);
     let mut changes = view.store.watch(kind, known, time).await?;
     changes.revision = changes.revision.max(known);
-    Ok(FedNews::Changed(changes))
+    Ok(FeedUpdate::Changed(changes))
 }
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -98,12 +98,12 @@
 
     /// The services whose targets this box sends to; `None` for all.
     pub fn wanted_services(&self) -> Option<BTreeSet<ServiceName>> {
-        self.feed.is_listener().then(|| self.table().called_services())
+        self.feed.is_receive_only().then(|| self.table().called_services())
     }
 
     /// Whether the configuration in force is surely the newest, give or take the time in which changes are heard.
     pub fn has_fresh_config(&self) -> bool {
-        self.feed.knows(Kind::Configuration, self.now())
+        self.feed.is_current(Kind::Configuration, self.now())
     }
 
     /// Whether any configuration is in force.
@@ -128,7 +128,7 @@
         drop(current);
         self.target_table().limit_cold(cold);
         if wants_more {
-            self.feed.want_more();
+            self.feed.request_services();
         }
         self.wake();
         true
--- a/crates/node/tests/feed.rs
+++ b/crates/node/tests/feed.rs
@@ -1,6 +1,6 @@
 //! What a box tells others of one kind of object.
 
-use node::feed::{KindCache, ServiceFilter, write_object};
+use node::feed::{KindCache, ServiceFilter, encode_object};
 use platform::{Changed, Changes, Kind, Listing, Stored};
 use serde_json::json;
 use wire::peer::FeedObject;
@@ -25,7 +25,7 @@
 fn listed() -> KindCache {
     let mut cache = KindCache::default();
     let objects = vec![stored("a", 3), stored("b", 5)];
-    cache.listed(&Listing { objects, revision: 10 });
+    cache.apply_listing(&Listing { objects, revision: 10 });
     cache
 }
 
@@ -40,8 +40,8 @@
 #[test]
 fn changes_are_told_to_whoever_lacks_them() {
     let mut cache = listed();
-    cache.changed(&put("b", 12));
-    cache.changed(&removed("a", 14));
+    cache.apply_changes(&put("b", 12));
+    cache.apply_changes(&removed("a", 14));
     let news = cache.since(10).expect("news");
     assert!(!news.full);
     assert_eq!(news.objects, [told("b", 12)]);
@@ -55,8 +55,8 @@
 #[test]
 fn an_object_that_came_again_is_not_told_to_be_gone() {
     let mut cache = listed();
-    cache.changed(&removed("a", 11));
-    cache.changed(&put("a", 12));
+    cache.apply_changes(&removed("a", 11));
+    cache.apply_changes(&put("a", 12));
     let news = cache.since(10).expect("news");
     assert_eq!(news.objects, [told("a", 12)]);
     assert!(news.removed.is_empty());
@@ -66,11 +66,11 @@
 fn whoever_is_far_behind_hears_all_objects_anew() {
     let mut cache = listed();
     for number in 0..600 {
-        cache.changed(&put("c", 20 + 2 * number));
-        cache.changed(&removed("c", 21 + 2 * number));
+        cache.apply_changes(&put("c", 20 + 2 * number));
+        cache.apply_changes(&removed("c", 21 + 2 * number));
     }
     for number in 0..600 {
-        cache.changed(&removed(&format!("d-{number}"), 2_000 + number));
+        cache.apply_changes(&removed(&format!("d-{number}"), 2_000 + number));
     }
     let news = cache.since(10).expect("news");
     assert!(news.full, "its removals are forgotten");
@@ -83,7 +83,7 @@
 fn a_listing_after_forgotten_history_tells_how_it_differs() {
     let mut cache = listed();
     let objects = vec![stored("b", 5), stored("c", 22)];
-    cache.listed(&Listing { objects, revision: 30 });
+    cache.apply_listing(&Listing { objects, revision: 30 });
     let news = cache.since(10).expect("news");
     assert!(!news.full);
     assert_eq!(news.objects, [told("c", 22)]);
@@ -99,9 +99,9 @@
 #[test]
 fn whoever_may_know_what_a_listing_missed_hears_all_objects() {
     let mut cache = listed();
-    cache.listed(&Listing { objects: vec![stored("b", 5)], revision: 30 });
-    cache.changed(&put("d", 32));
-    cache.listed(&Listing { objects: vec![stored("b", 5), stored("d", 32)], revision: 40 });
+    cache.apply_listing(&Listing { objects: vec![stored("b", 5)], revision: 30 });
+    cache.apply_changes(&put("d", 32));
+    cache.apply_listing(&Listing { objects: vec![stored("b", 5), stored("d", 32)], revision: 40 });
     for between in [11, 29, 33, 39] {
         let news = cache.since(between).expect("news");
         assert!(news.full, "{between}");
@@ -111,7 +111,7 @@
         assert!(!cache.since(reached).is_some_and(|news| news.full), "{reached}");
     }
     // A store that goes back tells everything anew.
-    cache.listed(&Listing { objects: vec![stored("b", 5)], revision: 20 });
+    cache.apply_listing(&Listing { objects: vec![stored("b", 5)], revision: 20 });
     assert!(cache.since(10).expect("news").full);
 }
 
@@ -121,13 +121,13 @@
         let mut cache = KindCache::default();
         let objects: Vec<Stored> =
             (0..targets).map(|at| stored(&format!("i-{at}"), at + 1)).collect();
-        cache.listed(&Listing { objects: objects.clone(), revision: targets });
+        cache.apply_listing(&Listing { objects: objects.clone(), revision: targets });
         let mut total = 0;
         for round in 1..=20 {
             let known = cache.revision();
             let mut objects = objects.clone();
             objects[0] = stored("i-0", targets + 10 * round);
-            cache.listed(&Listing { objects, revision: targets + 10 * round });
+            cache.apply_listing(&Listing { objects, revision: targets + 10 * round });
             total += cache.since(known).expect("news").objects.len();
         }
         total
@@ -142,10 +142,10 @@
     for targets in [1_000_u64, 2_000] {
         let mut cache = KindCache::default();
         let objects = (0..targets).map(|at| stored(&format!("i-{at}"), at + 1)).collect();
-        cache.listed(&Listing { objects, revision: targets });
+        cache.apply_listing(&Listing { objects, revision: targets });
         let leave = targets / 2;
         for at in 0..leave {
-            cache.changed(&removed(&format!("i-{at}"), targets + 1 + at));
+            cache.apply_changes(&removed(&format!("i-{at}"), targets + 1 + at));
         }
         let news = cache.since(targets).expect("news");
         assert!(!news.full, "{targets} targets");
@@ -165,7 +165,7 @@
     };
     assert!(find(&first.objects).is_some());
     assert_eq!(find(&first.objects), find(&second.objects));
-    assert_eq!(write_object(&stored("a", 3)), told("a", 3));
+    assert_eq!(encode_object(&stored("a", 3)), told("a", 3));
 }
 
 fn target(name: &str, revision: u64, service: &str) -> Stored {
@@ -183,15 +183,15 @@
         objects.push(target("desk-1", engines + 1, "desk"));
         // One that another writer spoiled is for everybody to judge.
         objects.push(stored("odd", engines + 2));
-        cache.listed(&Listing { objects, revision: engines + 2 });
+        cache.apply_listing(&Listing { objects, revision: engines + 2 });
         let known = cache.revision();
-        let whole = cache.since_of(0, ServiceFilter::of(&desk)).expect("news").objects.len();
+        let whole = cache.since_filtered(0, ServiceFilter::of(&desk)).expect("news").objects.len();
         for at in 0..engines {
             let stored = target(&format!("engine-{at}"), known + 1 + at, "lm");
             let revision = stored.revision;
-            cache.changed(&Changes { changes: vec![Changed::Put(stored)], revision });
+            cache.apply_changes(&Changes { changes: vec![Changed::Put(stored)], revision });
         }
-        assert_eq!(cache.since_of(known, ServiceFilter::of(&desk)), None, "no news for it");
+        assert_eq!(cache.since_filtered(known, ServiceFilter::of(&desk)), None, "no news for it");
         assert_eq!(cache.since(known).expect("news").objects.len() as u64, engines);
         whole
     };
@@ -205,8 +205,8 @@
     let mut cache = listed();
     let spoiled = Stored { name: "b".to_owned(), revision: 0, value: serde_json::Value::Null };
     let changes = Changes { changes: vec![Changed::Put(spoiled.clone())], revision: 12 };
-    cache.changed(&changes);
-    assert_eq!(cache.since(10).expect("news").objects, [write_object(&spoiled)]);
-    cache.changed(&put("b", 14));
+    cache.apply_changes(&changes);
+    assert_eq!(cache.since(10).expect("news").objects, [encode_object(&spoiled)]);
+    cache.apply_changes(&put("b", 14));
     assert_eq!(cache.since(10).expect("news").objects, [told("b", 14)]);
 }
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -74,7 +74,10 @@
 fn trust_in_news_ends_within_the_bound() {
     for bound in [2, 3, 5, 11].map(Duration::from_secs) {
         let times = FeedTimes::for_bound(bound);
-        assert!(times.tell < times.max_proof_age && times.max_proof_age < bound);
-        assert!(times.proof.wait + times.proof.slack < times.tell, "time for a second try");
+        assert!(times.max_source_age < times.max_proof_age && times.max_proof_age < bound);
+        assert!(
+            times.proof.wait + times.proof.slack < times.max_source_age,
+            "time for a second try"
+        );
     }
 }
--- a/crates/xtask/src/ablate.rs
+++ b/crates/xtask/src/ablate.rs
@@ -183,8 +183,8 @@
         without: "every box asks the store itself",
         edit: SourceEdit {
             file: "crates/node/src/feed/client.rs",
-            from: "self.silent.get(&copy.box_id).is_none_or(|at| at.elapsed() >= SILENT_PAUSE)",
-            to: "copy.address.is_empty() && !self.silent.contains_key(&copy.box_id)",
+            from: "self.failed_at.get(&candidate.box_id).is_none_or(|at| at.elapsed() >= SOURCE_BACKOFF)",
+            to: "candidate.address.is_empty() && !self.failed_at.contains_key(&candidate.box_id)",
         },
     },
     Ablation {
--- a/crates/xtask/src/mutate.rs
+++ b/crates/xtask/src/mutate.rs
@@ -356,7 +356,7 @@
     Mutation {
         name: "usage: a box that reports hears from no domain without a teller",
         file: "crates/node/src/feed/client.rs",
-        from: "                self.tell_counts_elsewhere().await;",
+        from: "                self.report_usage_to_other_domain().await;",
         to: "",
         package: "platform-standin",
         test: "use_is_reported_once",
@@ -427,9 +427,9 @@
     },
     Mutation {
         name: "platform: trust in what is told does not end by the clock",
-        file: "crates/node/src/feed/trust.rs",
-        from: "let stale_at = proof.proven_at + self.hear;",
-        to: "let stale_at = proof.proven_at + self.hear * 100;",
+        file: "crates/node/src/feed/freshness.rs",
+        from: "let stale_at = proof.proven_at + self.max_proof_age;",
+        to: "let stale_at = proof.proven_at + self.max_proof_age * 100;",
         package: "platform-standin",
         test: "trust_lasts_as_long",
     },
@@ -676,7 +676,7 @@
     Mutation {
         name: "platform: a listing after a gap tells everybody the difference alone",
         file: "crates/node/src/feed/cache.rs",
-        from: "revision < self.floor || self.may_know_more(revision)",
+        from: "revision < self.floor || self.may_have_unseen_objects(revision)",
         to: "revision < self.floor",
         package: "node",
         test: "whoever_may_know_what_a_listing_missed",
@@ -684,7 +684,7 @@
     Mutation {
         name: "platform: a service that is called later is not listed anew",
         file: "crates/node/src/feed/mod.rs",
-        from: "(Some(known), Some(wanted)) => !wanted.is_subset(known),",
+        from: "(Some(received), Some(wanted)) => !wanted.is_subset(received),",
         to: "(Some(_), Some(_)) => false,",
         package: "platform-standin",
         test: "a_service_that_callers_reach_only_later",
@@ -692,8 +692,8 @@
     Mutation {
         name: "platform: questions that brought nothing are asked again at once",
         file: "crates/node/src/feed/client.rs",
-        from: "time::sleep_until(asked_at + LEAST_PAUSE).await;",
-        to: "let _none = LEAST_PAUSE;",
+        from: "time::sleep_until(polled_at + MIN_POLL_INTERVAL).await;",
+        to: "let _none = MIN_POLL_INTERVAL;",
         package: "platform-standin",
         test: "not_asked_without_a_pause",
     },
