--- a/crates/gannetctl/src/explain.rs
+++ b/crates/gannetctl/src/explain.rs
@@ -21,7 +21,7 @@
     ["serving", "not serving", "plan in force", "not taken", "copy did not take the append"];
 /// Events that tell what is believed of a piece of work, at any time.
 const WORK_EVENTS: [&str; 4] =
-    ["target looked at", "work under suspicion", "work turned away", "work free again"];
+    ["target probed", "work under suspicion", "work refused", "suspicion cleared"];
 /// Seconds before and after a job's own lines in which its shard's changes are told.
 const AROUND_S: f64 = 5.0;
 
--- a/crates/gannetctl/tests/explain.rs
+++ b/crates/gannetctl/tests/explain.rs
@@ -75,9 +75,9 @@
 }
 
 const LETHAL: &str = r#"{"box":"entry-1","event":"try ended","outcome":"broken","part":"targets","request":"r7","t":7,"level":"info","target":"d1","work":"w1"}
-{"box":"entry-1","event":"target looked at","ends":1,"outcome":"ended","part":"targets","t":7.5,"level":"info","target":"d1@5","work":"w1"}
-{"box":"entry-1","event":"target looked at","ends":1,"outcome":"ended","part":"targets","t":7.5,"level":"info","target":"d1@5","work":"w2"}
-{"box":"entry-2","event":"work turned away","ends":3,"outcome":"condemned","part":"targets","request":"r9","t":9,"level":"info","work":"w1"}
+{"box":"entry-1","event":"target probed","ends":1,"outcome":"ended","part":"targets","t":7.5,"level":"info","target":"d1@5","work":"w1"}
+{"box":"entry-1","event":"target probed","ends":1,"outcome":"ended","part":"targets","t":7.5,"level":"info","target":"d1@5","work":"w2"}
+{"box":"entry-2","event":"work refused","ends":3,"outcome":"condemned","part":"targets","request":"r9","t":9,"level":"info","work":"w1"}
 "#;
 
 #[test]
@@ -85,11 +85,11 @@
     let logs = LogFiles::write("explain-lethal", &[LETHAL]);
     let told = text(&logs.run(&["explain", "r9"]));
     let expected = "\
-AFTER S  BOX      EVENT             FIELDS
-0.000    entry-1  target looked at  ends=1 outcome=ended target=d1@5 work=w1
-1.500    entry-2  work turned away  ends=3 outcome=condemned request=r9 work=w1
+AFTER S  BOX      EVENT          FIELDS
+0.000    entry-1  target probed  ends=1 outcome=ended target=d1@5 work=w1
+1.500    entry-2  work refused   ends=3 outcome=condemned request=r9 work=w1
 
-decided by entry-2: work turned away (ends=3 outcome=condemned request=r9 work=w1)
+decided by entry-2: work refused (ends=3 outcome=condemned request=r9 work=w1)
 ";
     assert_eq!(told, expected);
     // By the work itself all of its tries are found, whatever their ids.
--- a/crates/node/src/assignments.rs
+++ b/crates/node/src/assignments.rs
@@ -1,5 +1,5 @@
-//! Which boxes keep data, and who serves which shard, as the store tells it. Beside these it tells of work
-//! under suspicion.
+//! Storage boxes and the servers of each shard, as the store lists them. The cluster state
+//! also holds the records of suspected work.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 /// Name of the object that holds the number of shards.
 pub const LAYOUT_NAME: &str = "layout";
 
-/// Name of the object that tells where a box with a disk is.
+/// Name of the object that holds a storage box's address.
 pub fn box_object(box_id: &BoxId) -> String {
     format!("{BOX_PREFIX}{box_id}")
 }
@@ -27,10 +27,10 @@
     format!("{SHARD_PREFIX}{shard}")
 }
 
-/// A plan as read.
+/// A plan as read from the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ObservedPlan {
-    /// Its revision, for a conditional write.
+    /// The plan's revision, for conditional writes.
     pub revision: u64,
     /// The plan.
     pub plan: ShardPlan,
@@ -38,39 +38,39 @@
     pub seen_at: Moment,
 }
 
-/// What the store tells of duties.
+/// Storage boxes and shard plans.
 #[derive(Debug, Default)]
 pub struct AssignmentTable {
     boxes: BTreeMap<BoxId, StorageBox>,
     plans: HashMap<ShardIndex, ObservedPlan>,
-    /// Into how many shards jobs are divided, if the boxes have agreed on it.
+    /// The layout that the boxes agreed on, if any.
     layout: Option<ShardLayout>,
-    /// Whether the store has been read at all.
-    read: bool,
+    /// Whether a listing has been applied.
+    is_listed: bool,
 }
 
 impl AssignmentTable {
-    /// Boxes with a disk, whether they live or not.
+    /// All storage boxes, whether they respond or not.
     pub fn boxes(&self) -> impl Iterator<Item = &StorageBox> {
         self.boxes.values()
     }
 
-    /// Those of them that are at work: the others stand by and are not heard.
+    /// Storage boxes that are active. The others stand by and take no part.
     pub fn active_boxes(&self) -> Vec<&StorageBox> {
-        active_boxes(self.boxes(), |copy| self.has_assignment(&copy.box_id))
+        active_boxes(self.boxes(), |storage_box| self.has_assignment(&storage_box.box_id))
     }
 
-    /// A shard's plan.
+    /// The plan of a shard.
     pub fn plan(&self, shard: ShardIndex) -> Option<&ObservedPlan> {
         self.plans.get(&shard)
     }
 
-    /// The boxes that serve a shard, by the plans in force; one that serves several is named once for each.
+    /// Servers of all shards by the plans in force; a box appears once per shard.
     pub fn servers(&self) -> impl Iterator<Item = &StorageBox> {
-        self.plans.values().filter_map(|sighting| sighting.plan.server())
+        self.plans.values().filter_map(|observed| observed.plan.server())
     }
 
-    /// The layout that the boxes have agreed on.
+    /// The layout that the boxes agreed on.
     pub const fn layout(&self) -> Option<ShardLayout> {
         self.layout
     }
@@ -80,35 +80,35 @@
         self.plans.keys().max().copied()
     }
 
-    /// Whether the store has been read, so that a plan not known is not there.
+    /// Whether a listing has been applied, so that a missing plan does not exist.
     pub const fn is_read(&self) -> bool {
-        self.read
+        self.is_listed
     }
 
-    /// Whether any plan names a box.
+    /// Whether any plan includes a box.
     pub fn has_assignment(&self, box_id: &BoxId) -> bool {
-        self.plans.values().any(|sighting| sighting.plan.rank(box_id).is_some())
+        self.plans.values().any(|observed| observed.plan.rank(box_id).is_some())
     }
 
-    /// Takes a plan unless a later one is known.
-    pub fn put_plan(&mut self, shard: ShardIndex, mut sighting: ObservedPlan) {
+    /// Stores a plan unless a newer revision is present.
+    pub fn put_plan(&mut self, shard: ShardIndex, mut observed: ObservedPlan) {
         let known = self.plans.get(&shard);
-        if known.is_some_and(|known| known.revision > sighting.revision) {
+        if known.is_some_and(|known| known.revision > observed.revision) {
             return;
         }
-        let same_epoch = known.filter(|known| known.plan.epoch == sighting.plan.epoch);
+        let same_epoch = known.filter(|known| known.plan.epoch == observed.plan.epoch);
         if let Some(known) = same_epoch {
-            sighting.seen_at = known.seen_at;
+            observed.seen_at = known.seen_at;
         } else {
-            let plan = &sighting.plan;
+            let plan = &observed.plan;
             log::info!(
                 target: "shard", shard = shard.get(), token = plan.epoch.token.get(),
-                server:% = plan.server().map_or("none", |copy| copy.box_id.as_str()),
-                copies = plan.copies.len(), revision = sighting.revision;
+                server:% = plan.server().map_or("none", |storage_box| storage_box.box_id.as_str()),
+                copies = plan.copies.len(), revision = observed.revision;
                 "plan in force"
             );
         }
-        self.plans.insert(shard, sighting);
+        self.plans.insert(shard, observed);
     }
 
     fn put(&mut self, now: Moment, stored: &Stored) {
@@ -128,8 +128,8 @@
             }
         } else if stored.name.starts_with(BOX_PREFIX) {
             match stored.parse::<StorageBox>() {
-                Ok(copy) => {
-                    self.boxes.insert(copy.box_id.clone(), copy);
+                Ok(storage_box) => {
+                    self.boxes.insert(storage_box.box_id.clone(), storage_box);
                 }
                 Err(error) => log::warn!(target: "shard", error:% = error; "box refused"),
             }
@@ -143,22 +143,22 @@
     }
 }
 
-/// Keeps the duties.
+/// Applies assignments and records of suspected work.
 #[derive(Debug)]
 pub struct AssignmentSink(pub Arc<NodeView>);
 
 impl KindSink for AssignmentSink {
     fn listed(&mut self, listing: &Listing) {
         let now = self.0.now();
-        let mut duties = self.0.assignments();
+        let mut assignments = self.0.assignments();
         for stored in &listing.objects {
-            if !suspects::take_object(&self.0, stored) {
-                duties.put(now, stored);
+            if !suspects::apply_object(&self.0, stored) {
+                assignments.put(now, stored);
             }
         }
-        duties.read = true;
-        drop(duties);
-        suspects::take_listing(&self.0, listing);
+        assignments.is_listed = true;
+        drop(assignments);
+        suspects::apply_listing(&self.0, listing);
         self.0.wake();
     }
 
@@ -166,12 +166,12 @@
         match change {
             Changed::Put(stored) => {
                 let now = self.0.now();
-                if !suspects::take_object(&self.0, stored) {
+                if !suspects::apply_object(&self.0, stored) {
                     self.0.assignments().put(now, stored);
                 }
             }
             Changed::Removed(name) => {
-                suspects::take_removal(&self.0, name);
+                suspects::apply_removal(&self.0, name);
                 self.0.assignments().remove(name);
             }
         }
--- a/crates/node/src/choice.rs
+++ b/crates/node/src/choice.rs
@@ -1,4 +1,4 @@
-//! Which target gets a caller's request, with regard to what is known of its work.
+//! Chooses a target for a request, with regard to suspicions about its work.
 
 use std::sync::Arc;
 
@@ -8,27 +8,27 @@
 
 use crate::{NodeView, SlotGuard, WorkAdmission};
 
-/// What a request needs of the choice.
+/// Requirements of a request on its target.
 #[derive(Debug)]
 pub struct WorkRequirements<'a> {
-    /// Its work.
+    /// Digest of the work.
     pub work: WorkDigest,
-    /// Targets that were tried.
+    /// Targets that were tried already.
     pub tried: &'a [InstanceId],
-    /// Whether one of these is better than none.
+    /// Whether a tried target may be chosen if there is no other.
     pub allow_tried: bool,
-    /// Whether nobody waits for this one call.
+    /// Whether no caller waits for this call.
     pub is_background: bool,
 }
 
-/// Where a request goes next.
+/// Result of [`choose_target`].
 #[derive(Debug)]
 pub enum TargetChoice {
-    /// To this target, where its place is taken.
+    /// This target, with a slot acquired.
     Target(SlotGuard),
-    /// No target takes it now.
+    /// No target has capacity now.
     None,
-    /// Nowhere: it ends the targets that run it.
+    /// The work is quarantined because it crashes targets.
     Quarantined,
 }
 
@@ -36,33 +36,34 @@
 pub fn choose_target(
     view: &Arc<NodeView>,
     route: &Route,
-    need: &WorkRequirements<'_>,
+    requirements: &WorkRequirements<'_>,
 ) -> TargetChoice {
     let mut rng = rand::rng();
     let Some(service) = route.service(rng.random()) else { return TargetChoice::None };
-    let WorkAdmission::Open(barred) = view.admit_work(need.work, service, need.is_background)
+    let WorkAdmission::Open(excluded) =
+        view.admit_work(requirements.work, service, requirements.is_background)
     else {
         return TargetChoice::Quarantined;
     };
-    let anti_affinity = view.suspects().anti_affinity(need.work);
+    let anti_affinity = view.suspects().anti_affinity(requirements.work);
     let now = view.now();
-    let mut board = view.target_table();
-    let mut among = |avoid: &[InstanceId]| {
-        let need = TargetRequirements { avoid, ..TargetRequirements::default() };
-        board.choose(now, service, &need, &mut rng)
+    let mut targets = view.target_table();
+    let mut choose = |avoid: &[InstanceId]| {
+        let target_requirements = TargetRequirements { avoid, ..TargetRequirements::default() };
+        targets.choose(now, service, &target_requirements, &mut rng)
     };
-    // Rather beside other work under suspicion than nowhere new, and rather the same target again than none.
-    let apart = [&barred, anti_affinity.targets.as_slice()].concat();
-    let mut slot = among(&[need.tried, &apart].concat());
+    // Prefers targets without other suspected work, then untried ones, then tried ones.
+    let apart = [&excluded, anti_affinity.targets.as_slice()].concat();
+    let mut slot = choose(&[requirements.tried, &apart].concat());
     if !anti_affinity.required {
-        slot = slot.or_else(|| among(&[need.tried, &barred].concat()));
+        slot = slot.or_else(|| choose(&[requirements.tried, &excluded].concat()));
     }
-    if need.allow_tried {
-        let last = if anti_affinity.required { &apart } else { &barred };
-        slot = slot.or_else(|| among(last));
+    if requirements.allow_tried {
+        let avoid = if anti_affinity.required { &apart } else { &excluded };
+        slot = slot.or_else(|| choose(avoid));
     }
-    drop(board);
+    drop(targets);
     slot.map_or(TargetChoice::None, |slot| {
-        TargetChoice::Target(SlotGuard::new(view, need.work, slot))
+        TargetChoice::Target(SlotGuard::new(view, requirements.work, slot))
     })
 }
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -1,8 +1,8 @@
-//! The clock of all that a box believes: leases, terms, proofs, rests.
+//! The box's clock for leases, timeouts of cached state and backoffs.
 //!
-//! A box may be suspended for seconds. The clock that the runtime sleeps by does not count that time, so a lease that is
-//! counted by it would be believed in for just as long after its end. What is believed is counted by a clock
-//! that does; what only bounds a wait of this process goes by the runtime's.
+//! A box may be suspended for seconds. The runtime's clock does not count that time, so a lease
+//! measured by it would appear valid after its end. This clock includes suspensions. Timeouts that
+//! only limit a wait of this process use the runtime's clock.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,25 +12,26 @@
 use rustix::time::{ClockId, clock_gettime};
 use tokio::time::Instant;
 
-/// Where the time comes from by which a box believes.
+/// Time source of the box's clock.
 #[derive(Debug, Clone, Default)]
 pub enum ClockSource {
-    /// The machine's clock that goes on while it is suspended.
+    /// The machine's clock, which includes suspensions.
     #[default]
     Machine,
-    /// The runtime's, which tests pause and advance, and as many milliseconds of suspension as they say.
+    /// The runtime's clock, which tests pause and advance, plus a simulated suspension in
+    /// milliseconds.
     Runtime(Arc<AtomicU64>),
 }
 
-/// Time since the start of this box, suspensions included.
+/// Measures the time since the start of this box, suspensions included.
 #[derive(Debug)]
-pub(crate) enum BeliefClock {
+pub(crate) enum NodeClock {
     Machine { started: Duration },
     Runtime { started: Instant, suspended_ms: Arc<AtomicU64> },
 }
 
-impl BeliefClock {
-    /// A clock that starts now.
+impl NodeClock {
+    /// Starts a clock at zero.
     pub(crate) fn start(source: ClockSource) -> Self {
         match source {
             ClockSource::Machine => Self::Machine { started: machine_time() },
@@ -51,8 +52,8 @@
     }
 }
 
-/// The machine's time since it was started, suspensions included. One reading, since two clocks that are read one after
-/// the other may lie a scheduler's turn apart.
+/// Time since the machine started, suspensions included. Read once, because readings of two clocks
+/// could differ by a scheduler delay.
 fn machine_time() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or(0);
--- a/crates/node/src/feed/client.rs
+++ b/crates/node/src/feed/client.rs
@@ -188,7 +188,7 @@
         let services = wanted.as_ref().map(|wanted| ServiceSelection {
             names: wanted.iter().map(ToString::to_string).collect(),
         });
-        let (usage, version) = self.view.usage.untold(&source.box_id);
+        let (usage, version) = self.view.usage.unreported(&source.box_id);
         let read = FeedRead {
             cursors: cursors.collect(),
             wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
@@ -225,7 +225,7 @@
     /// Records that a peer has received this box's usage counts, and adopts its cluster time.
     fn record_usage_ack(&self, peer: &StorageBox, version: TableVersion, page: &FeedPage) {
         let usage = &self.view.usage;
-        usage.note_told(&peer.box_id, Incarnation::new(page.incarnation), version);
+        usage.record_reported(&peer.box_id, Incarnation::new(page.incarnation), version);
         if page.true_ms > 0 {
             usage.follow_time(self.view.now(), UnixTime::new(page.true_ms));
         }
@@ -237,7 +237,7 @@
             return;
         }
         let Some(peer) = self.select_remote_peer() else { return };
-        let (usage, version) = self.view.usage.untold(&peer.box_id);
+        let (usage, version) = self.view.usage.unreported(&peer.box_id);
         if usage.is_empty() {
             return;
         }
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -1,11 +1,11 @@
-//! Followers: each keeps one kind of the store's objects current in the box's belief.
+//! Watchers that keep the box's cached state of one kind of object up to date with the store.
 //!
-//! A follower lists its kind and then watches it from the listing's revision on. A watch that is
-//! cut, or whose history is forgotten, begins again; nothing is ever taken from a read that may
-//! be stale, but where a kind's first listing decides nothing by itself. While the store is away only
-//! the configuration's follower asks it, as often as [`ProbePace`] says; the others wait for its word,
-//! since every call has its price. A follower that another box feeds asks the store only while it is
-//! not fed.
+//! A watcher lists its kind and then watches it from the listing's revision. If the connection
+//! drops or the history was compacted, it starts again. Stale reads are never used, except for the
+//! first listing of kinds for which an incomplete listing is harmless. During a store outage only
+//! the configuration's watcher probes the store, at the intervals of [`ProbeBackoff`]; the others
+//! wait until it succeeds, since calls are costly. A watcher that is served by the feed queries the
+//! store only while the feed is not fresh.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,123 +16,133 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::feed::{FeedUpdate, KindSubscription, affects_callers};
-use crate::probe::ProbePace;
+use crate::probe::ProbeBackoff;
 use crate::{NodeView, StoreCall};
 
-/// Room for a watch's answer: the store takes some tens of times as long as usual when it is slow.
+/// Extra time for a watch's response: a slow store takes tens of times its usual response time.
 const WATCH_SLACK: Duration = Duration::from_millis(700);
-/// Longest watch of the named versions. An answer may be lost without a word, so a watch must end by
-/// itself before trainers have waited for long.
-const WATCH_TIME: WatchTime = WatchTime { wait: Duration::from_secs(4), slack: WATCH_SLACK };
-/// The same of domains that are to be emptied: an answer lost, a second watch and the way to the boxes that are told
-/// fit into the time in which nothing may go there any more.
-const EVACUATION_TIME: WatchTime = WatchTime { wait: Duration::from_secs(2), slack: WATCH_SLACK };
-/// The same for kinds that change seldom and bind no caller.
-const LONG_TIME: WatchTime = WatchTime { wait: Duration::from_secs(8), slack: WATCH_SLACK };
-/// The watch that finds out whether the store is back: one that waits for changes would tell it
-/// only seconds later.
-const PROBE_TIME: WatchTime = WatchTime { wait: Duration::from_millis(20), slack: WATCH_SLACK };
-/// After the store's return, or its first news, how long a follower waits to be fed.
-const FEED_RETURN: Duration = Duration::from_millis(700);
-/// How long a follower that may be fed waits for the first news before it asks the store itself. A box
-/// that starts among hundreds makes one or two calls so, in place of six.
-const FIRST_FEED: Duration = Duration::from_secs(1);
-/// How long a follower whose history is gone waits for another box's word of a kind with many objects.
-const TOLD_INSTEAD: Duration = Duration::from_secs(2);
-/// How long changes gather after a first listing that may be old: all boxes of a deployment that starts
-/// are there by then.
-const FIRST_GATHER: Duration = Duration::from_millis(300);
+/// Watch of the named versions. Responses may be lost without an error, so a watch must time out
+/// before trainers wait for long.
+const VERSION_WATCH: WatchTime = WatchTime { wait: Duration::from_secs(4), slack: WATCH_SLACK };
+/// Watch of the failure domains to evacuate. A lost response, a second watch and the feed's delay
+/// fit into the platform's evacuation bound.
+const EVACUATION_WATCH: WatchTime = WatchTime { wait: Duration::from_secs(2), slack: WATCH_SLACK };
+/// Watch of kinds that change rarely and do not affect callers.
+const LONG_WATCH: WatchTime = WatchTime { wait: Duration::from_secs(8), slack: WATCH_SLACK };
+/// Probe for the store's recovery. Short, because a watch that waits for changes would report it
+/// seconds later.
+const PROBE_WATCH: WatchTime = WatchTime { wait: Duration::from_millis(20), slack: WATCH_SLACK };
+/// How long a watcher waits for the feed to serve it after the store's recovery or the first
+/// update.
+const FEED_RESUME_TIMEOUT: Duration = Duration::from_millis(700);
+/// How long a watcher with a feed waits for the first update before it queries the store. Saves
+/// most of a starting box's store calls.
+const FIRST_UPDATE_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long a watcher of a large kind waits for the feed when the store has compacted its history.
+const FEED_LISTING_TIMEOUT: Duration = Duration::from_secs(2);
+/// Delay after a stale first listing. By then all boxes of a starting deployment are present.
+const STALE_LIST_DELAY: Duration = Duration::from_millis(300);
 
-/// How a follower begins.
+/// How a watcher gets its first objects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum FirstLook {
-    /// It lists its kind.
-    Lists,
-    /// It lists its kind as it was some seconds ago, and asks what has changed since.
-    ListsOld,
-    /// It waits for another box to feed it.
-    WaitsForFeed,
+enum StartMode {
+    /// Lists the kind.
+    List,
+    /// Accepts a listing that may be some seconds old, then polls for changes since.
+    ListStale,
+    /// Waits for the feed.
+    AwaitFeed,
 }
 
-/// Takes what a follower hears.
+/// Receives the objects and changes of one kind.
 pub trait KindSink: Send + 'static {
-    /// All objects of the kind, as they are now. Where no object goes away, each of them is a
-    /// change like any other.
+    /// Receives a complete listing. The default treats each object as a change, for kinds whose
+    /// objects are never removed.
     fn listed(&mut self, listing: &Listing) {
         for stored in &listing.objects {
             self.changed(&Changed::Put(stored.clone()));
         }
     }
 
-    /// One change.
+    /// Receives one change.
     fn changed(&mut self, change: &Changed);
 
-    /// Changes that came together, in their order.
+    /// Receives a batch of changes, in order.
     fn changed_all(&mut self, changes: &[Changed]) {
         for change in changes {
             self.changed(change);
         }
     }
 
-    /// Whether a listing takes so many calls that another box's word is worth a wait.
+    /// Whether a listing takes so many calls that it is better to wait for the feed.
     fn is_large(&self) -> bool {
         false
     }
 
-    /// Whether the next changes may gather for a while.
-    fn may_gather(&self) -> bool {
+    /// Whether the next changes may be batched.
+    fn allows_batching(&self) -> bool {
         true
     }
 }
 
-/// Keeps one kind current.
+/// Keeps one kind up to date.
 #[derive(Debug)]
 pub struct KindWatcher<S> {
     view: Arc<NodeView>,
     kind: Kind,
-    /// How long changes may gather between two watches.
-    gather: Duration,
+    /// Delay between two watches, in which changes accumulate.
+    batch_delay: Duration,
     sink: S,
-    first: FirstLook,
-    /// Whether another box's word of the store's return is soon enough.
-    may_hear_later: bool,
-    /// Up to which revision the kind is known; zero for not at all.
+    start_mode: StartMode,
+    /// Whether this box may learn of the store's recovery from another box.
+    defers_probe: bool,
+    /// The current revision; zero before the first listing.
     revision: watch::Sender<u64>,
-    /// News from another box, if the kind is fed.
-    news: Option<mpsc::Receiver<FeedUpdate>>,
+    /// Updates from the feed, if subscribed.
+    updates: Option<mpsc::Receiver<FeedUpdate>>,
 }
 
 impl<S: KindSink> KindWatcher<S> {
-    /// A follower that knows nothing yet.
-    pub fn new(view: &Arc<NodeView>, kind: Kind, gather: Duration, sink: S) -> Self {
+    /// Creates a watcher without any objects.
+    pub fn new(view: &Arc<NodeView>, kind: Kind, batch_delay: Duration, sink: S) -> Self {
         let view = Arc::clone(view);
-        let first = FirstLook::Lists;
+        let start_mode = StartMode::List;
         let revision = watch::Sender::new(0);
-        Self { view, kind, gather, sink, first, may_hear_later: false, revision, news: None }
+        Self {
+            view,
+            kind,
+            batch_delay,
+            sink,
+            start_mode,
+            defers_probe: false,
+            revision,
+            updates: None,
+        }
     }
 
-    /// Lets another box's news feed this follower; its own watches rest meanwhile.
+    /// Subscribes to the feed. The watcher's own watches pause while the feed serves it.
     pub fn feed(&mut self) -> KindSubscription {
-        let (sender, news) = mpsc::channel(1);
-        self.news = Some(news);
-        // The duties tell who feeds.
+        let (sender, updates) = mpsc::channel(1);
+        self.updates = Some(updates);
+        // The cluster state names the feed sources, so it must be listed first.
         if self.kind != Kind::ClusterState {
-            self.first = FirstLook::WaitsForFeed;
+            self.start_mode = StartMode::AwaitFeed;
         }
         KindSubscription { kind: self.kind, revision: self.revision.subscribe(), updates: sender }
     }
 
-    /// Lets the first listing be some seconds old, where nothing is decided by what is not in it.
+    /// Allows a first listing that is some seconds old. Use only if a missing object is harmless.
     pub fn allow_stale_first_list(&mut self) {
-        self.first = FirstLook::ListsOld;
+        self.start_mode = StartMode::ListStale;
     }
 
-    /// Lets the box hear of the store's return from another one: nobody waits for what it does then.
+    /// Defers probes during an outage while another box responds. For boxes whose work after the
+    /// store's recovery is not urgent.
     pub const fn defer_recovery_probe(&mut self) {
-        self.may_hear_later = true;
+        self.defers_probe = true;
     }
 
-    /// Follows the kind until `stop`.
+    /// Runs until `stop`.
     pub async fn run(mut self, stop: CancellationToken) {
         tokio::select! {
             () = self.follow() => {}
@@ -141,130 +151,134 @@
     }
 
     async fn follow(&mut self) {
-        let mut fed = self.view.feed.freshness().served_states();
-        let mut pace = ProbePace::default();
-        let mut ask_at = Instant::now();
-        let mut wait = self.usual_time();
-        let mut known = None;
-        let mut news = self.news.take();
-        let listens = news.is_some();
-        // The first box of its domain is fed by nobody, and would wait in vain.
-        let mut was_fed = false;
-        let mut wants = self.view.feed.service_requests();
-        let lists_anew = self.kind == Kind::Targets && self.view.feed.is_receive_only();
-        match self.first {
-            FirstLook::Lists => {}
-            FirstLook::ListsOld => known = self.list_old().await,
-            FirstLook::WaitsForFeed => known = self.first_news(&mut news).await,
+        let mut served = self.view.feed.freshness().served_states();
+        let mut backoff = ProbeBackoff::default();
+        let mut next_poll_at = Instant::now();
+        let mut watch_time = self.default_watch_time();
+        let mut revision = None;
+        let mut updates = self.updates.take();
+        let has_feed = updates.is_some();
+        // The domain's feed source is served by no other box and must not wait for one.
+        let mut was_served = false;
+        let mut service_requests = self.view.feed.service_requests();
+        let relists = self.kind == Kind::Targets && self.view.feed.is_receive_only();
+        match self.start_mode {
+            StartMode::List => {}
+            StartMode::ListStale => revision = self.list_stale().await,
+            StartMode::AwaitFeed => revision = self.wait_first_update(&mut updates).await,
         }
         loop {
-            let resting = listens && *fed.borrow_and_update();
-            was_fed |= resting;
-            if lists_anew && !resting && self.lacks_targets() {
-                // What was left out while another box told stands in no change.
-                known = None;
+            let is_paused = has_feed && *served.borrow_and_update();
+            was_served |= is_paused;
+            if relists && !is_paused && self.lacks_targets() {
+                // Changes do not include targets that the feed has filtered out.
+                revision = None;
             }
-            let answered = tokio::select! {
+            let response = tokio::select! {
                 biased;
-                Some(told) = next_news(&mut news) => {
-                    known = Some(self.take(told));
+                Some(update) = next_update(&mut updates) => {
+                    revision = Some(self.apply(update));
                     continue;
                 }
-                _ = fed.changed(), if listens => {
-                    // Not fed any more: whether the store answers must be known soon.
-                    wait = PROBE_TIME;
+                _ = served.changed(), if has_feed => {
+                    // The feed is lost: probe the store without delay.
+                    watch_time = PROBE_WATCH;
                     continue;
                 }
-                _ = wants.changed(), if lists_anew && !resting => continue,
-                // The connection of a watch that waits may have fallen silent as well, which would show only at its
-                // end, up to nine seconds later.
-                () = lost_by_others(&self.view, self.kind), if !resting => {
-                    self.wait_for_return(&mut fed, was_fed).await;
+                _ = service_requests.changed(), if relists && !is_paused => continue,
+                // The connection of a pending watch may be unresponsive too, which would go
+                // unnoticed until its timeout.
+                () = wait_for_loss(&self.view, self.kind), if !is_paused => {
+                    self.wait_for_return(&mut served, was_served).await;
                     continue;
                 }
-                answered = ask_from(ask_at, &self.view, self.kind, known, wait), if !resting => answered,
+                response = poll_at(next_poll_at, &self.view, self.kind, revision, watch_time), if !is_paused => response,
             };
-            match answered {
-                Ok(told) => {
+            match response {
+                Ok(update) => {
                     self.view.store_answered(self.kind, true);
                     self.view.feed.record_proof(self.kind, self.view.now());
-                    pace.answered();
-                    wait = self.usual_time();
-                    let lists = matches!(told, FeedUpdate::Listed(_));
-                    let next = self.take(told);
-                    if lists && lists_anew {
+                    backoff.record_response();
+                    watch_time = self.default_watch_time();
+                    let lists = matches!(update, FeedUpdate::Listed(_));
+                    let next = self.apply(update);
+                    if lists && relists {
                         self.view.feed.set_received_services(None);
                     }
-                    let is_new = known.is_none_or(|last| last != next);
-                    known = Some(next);
-                    if is_new && self.sink.may_gather() {
-                        time::sleep(self.gather).await;
+                    let is_new = revision.is_none_or(|last| last != next);
+                    revision = Some(next);
+                    if is_new && self.sink.allows_batching() {
+                        time::sleep(self.batch_delay).await;
                     }
                 }
                 Err(StoreError::HistoryGone) => {
-                    if was_fed
+                    if was_served
                         && self.sink.is_large()
-                        && let Some(told) = told_instead(&mut fed, &mut news).await
+                        && let Some(update) = wait_for_feed_listing(&mut served, &mut updates).await
                     {
-                        known = told.map(|told| self.take(told)).or(known);
+                        revision = update.map(|update| self.apply(update)).or(revision);
                         continue;
                     }
-                    log::info!(target: "node", kind:% = self.kind; "list again, history is gone");
-                    known = None;
+                    log::info!(target: "node", kind:% = self.kind; "history compacted; listing again");
+                    revision = None;
                 }
                 Err(error) => {
                     self.view.store_answered(self.kind, false);
-                    wait = PROBE_TIME;
+                    watch_time = PROBE_WATCH;
                     log::debug!(target: "node", kind:% = self.kind, error:% = error; "store call failed");
                     if self.kind == Kind::Configuration {
-                        let told = self.may_hear_later
-                            && self.view.feed.freshness().is_source_responding();
-                        ask_at = Instant::now() + pace.failed(told);
+                        let has_source =
+                            self.defers_probe && self.view.feed.freshness().is_source_responding();
+                        next_poll_at = Instant::now() + backoff.record_failure(has_source);
                     } else {
-                        time::sleep(pace.failed(false)).await;
-                        self.wait_for_return(&mut fed, was_fed).await;
+                        time::sleep(backoff.record_failure(false)).await;
+                        self.wait_for_return(&mut served, was_served).await;
                     }
                 }
             }
         }
     }
 
-    /// Whether targets that this box sends to were left out of all that it was told.
+    /// Whether targets that this box sends to have been filtered out of all updates so far.
     fn lacks_targets(&self) -> bool {
         self.view.feed.lacks_services(self.view.wanted_services().as_ref())
     }
 
-    /// Returns once the store is back, and once another box tells of it where one did before.
-    async fn wait_for_return(&self, fed: &mut watch::Receiver<bool>, was_fed: bool) {
+    /// Waits for the store's recovery, then for the feed if it served this watcher before.
+    async fn wait_for_return(&self, served: &mut watch::Receiver<bool>, was_served: bool) {
         wait_until_up(&self.view).await;
-        if was_fed {
-            // Fed or not, it goes on from what is known.
-            let _fed = time::timeout(FEED_RETURN, fed.wait_for(|fed| *fed)).await;
+        if was_served {
+            // Continues from the current revision with or without the feed.
+            let _result =
+                time::timeout(FEED_RESUME_TIMEOUT, served.wait_for(|served| *served)).await;
         }
     }
 
-    /// The first news of another box; `None` when nobody tells this one.
-    async fn first_news(&mut self, news: &mut Option<mpsc::Receiver<FeedUpdate>>) -> Option<u64> {
-        let told = tokio::select! {
+    /// Waits for the first update of the feed. Returns `None` if there is none.
+    async fn wait_first_update(
+        &mut self,
+        updates: &mut Option<mpsc::Receiver<FeedUpdate>>,
+    ) -> Option<u64> {
+        let update = tokio::select! {
             biased;
-            told = next_news(news) => told,
-            _nobody = time::timeout(FIRST_FEED, self.view.feed.freshness().wait_for_no_source()) => None,
+            update = next_update(updates) => update,
+            _no_source = time::timeout(FIRST_UPDATE_TIMEOUT, self.view.feed.freshness().wait_for_no_source()) => None,
         };
-        let known = self.take(told?);
-        // The same answer told of other kinds, and counts as heard once their tasks have taken them.
-        let mut fed = self.view.feed.freshness().served_states();
-        let _fed = time::timeout(FEED_RETURN, fed.wait_for(|fed| *fed)).await;
-        Some(known)
+        let revision = self.apply(update?);
+        // The feed counts as fresh once the tasks of all kinds have applied their updates.
+        let mut served = self.view.feed.freshness().served_states();
+        let _result = time::timeout(FEED_RESUME_TIMEOUT, served.wait_for(|served| *served)).await;
+        Some(revision)
     }
 
-    /// Lists the kind as it was a while ago; `None` when the store does not tell.
-    async fn list_old(&mut self) -> Option<u64> {
+    /// Reads a listing that may be stale. Returns `None` if the call fails.
+    async fn list_stale(&mut self) -> Option<u64> {
         self.view.metrics.store_call(self.kind, StoreCall::ListOld);
         match self.view.store.list_old(self.kind).await {
             Ok(listing) => {
-                let known = self.take(FeedUpdate::Listed(listing));
-                time::sleep(FIRST_GATHER).await;
-                Some(known)
+                let revision = self.apply(FeedUpdate::Listed(listing));
+                time::sleep(STALE_LIST_DELAY).await;
+                Some(revision)
             }
             Err(error) => {
                 log::debug!(target: "node", kind:% = self.kind, error:% = error; "store call failed");
@@ -273,9 +287,9 @@
         }
     }
 
-    /// Takes what was told; says up to which revision the kind is known now.
-    fn take(&mut self, told: FeedUpdate) -> u64 {
-        let revision = match told {
+    /// Applies an update and returns the new revision.
+    fn apply(&mut self, update: FeedUpdate) -> u64 {
+        let revision = match update {
             FeedUpdate::Listed(listing) => {
                 self.sink.listed(&listing);
                 self.view.feed.listed(self.kind, &listing);
@@ -287,86 +301,86 @@
                 changes.revision
             }
         };
-        // A listing after forgotten history may go back behind what a watch has told.
+        // A listing after compacted history may have a lower revision than a watch reported.
         self.revision.send_replace(revision);
         revision
     }
 
-    fn usual_time(&self) -> WatchTime {
+    fn default_watch_time(&self) -> WatchTime {
         match self.kind {
             kind if affects_callers(kind) => self.view.feed.times().proof,
-            Kind::ModelVersions => WATCH_TIME,
-            Kind::Evacuations => EVACUATION_TIME,
-            _ => LONG_TIME,
+            Kind::ModelVersions => VERSION_WATCH,
+            Kind::Evacuations => EVACUATION_WATCH,
+            _ => LONG_WATCH,
         }
     }
 }
 
-/// Waits for another box's word in place of a long listing, which that box makes for all of its domain; `None` when
-/// it does not come. News, or none where the box is told of all that there is.
-async fn told_instead(
-    fed: &mut watch::Receiver<bool>,
-    news: &mut Option<mpsc::Receiver<FeedUpdate>>,
+/// Waits for the feed instead of making a long listing. Returns `None` on a timeout, otherwise the
+/// update, or `Some(None)` if the feed is fresh without one.
+async fn wait_for_feed_listing(
+    served: &mut watch::Receiver<bool>,
+    updates: &mut Option<mpsc::Receiver<FeedUpdate>>,
 ) -> Option<Option<FeedUpdate>> {
     tokio::select! {
         biased;
-        told = next_news(news) => told.map(Some),
-        told = time::timeout(TOLD_INSTEAD, fed.wait_for(|fed| *fed)) => {
-            told.is_ok().then_some(None)
+        update = next_update(updates) => update.map(Some),
+        served_in_time = time::timeout(FEED_LISTING_TIMEOUT, served.wait_for(|served| *served)) => {
+            served_in_time.is_ok().then_some(None)
         }
     }
 }
 
-/// The next news of another box; never any where none is heard.
-async fn next_news(news: &mut Option<mpsc::Receiver<FeedUpdate>>) -> Option<FeedUpdate> {
-    match news {
-        Some(news) => news.recv().await,
+/// Returns the next update of the feed; never resolves without a subscription.
+async fn next_update(updates: &mut Option<mpsc::Receiver<FeedUpdate>>) -> Option<FeedUpdate> {
+    match updates {
+        Some(updates) => updates.recv().await,
         None => std::future::pending().await,
     }
 }
 
-/// Returns when the store is lost by a call about another kind; never for the configuration, whose follower looks
-/// whether it is back.
-async fn lost_by_others(view: &NodeView, kind: Kind) {
+/// Waits until a call of another kind fails. Never resolves for the configuration, whose watcher
+/// probes for recovery.
+async fn wait_for_loss(view: &NodeView, kind: Kind) {
     if kind == Kind::Configuration {
         return std::future::pending().await;
     }
     let mut states = view.store_states();
-    // The sender lives in the view, so this ends only when the store is down.
+    // Cannot fail: the view owns the sender.
     let _closed = states.wait_for(|state| !state.up).await;
 }
 
 async fn wait_until_up(view: &NodeView) {
     let mut states = view.store_states();
-    // The sender lives in the view, so this ends only when the store is up.
+    // Cannot fail: the view owns the sender.
     let _closed = states.wait_for(|state| state.up).await;
 }
 
-/// As [`follow_once`], not before `at`.
-async fn ask_from(
+/// As [`poll_store`], not before `at`.
+async fn poll_at(
     at: Instant,
     view: &NodeView,
     kind: Kind,
-    known: Option<u64>,
+    revision: Option<u64>,
     time: WatchTime,
 ) -> Result<FeedUpdate, StoreError> {
     time::sleep_until(at).await;
-    follow_once(view, kind, known, time).await
+    poll_store(view, kind, revision, time).await
 }
 
-/// Lists the kind, or waits for changes after `known`.
-async fn follow_once(
+/// Lists the kind, or waits for changes after `revision`.
+async fn poll_store(
     view: &NodeView,
     kind: Kind,
-    known: Option<u64>,
+    revision: Option<u64>,
     time: WatchTime,
 ) -> Result<FeedUpdate, StoreError> {
-    let Some(known) = known else {
+    let Some(revision) = revision else {
         view.metrics.store_call(kind, StoreCall::List);
         return Ok(FeedUpdate::Listed(view.store.list(kind).await?));
     };
     view.metrics.store_call(kind, StoreCall::Watch);
-    let mut changes = view.store.watch(kind, known, time).await?;
-    changes.revision = changes.revision.max(known);
+    let mut changes = view.store.watch(kind, revision, time).await?;
+    changes.revision = changes.revision.max(revision);
     Ok(FeedUpdate::Changed(changes))
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,13 +1,13 @@
-//! What both roles of a box on the platform share.
+//! Code shared by the two roles of a box on the platform.
 //!
-//! [`NodeView`] is the box's belief: the configuration in force, the targets, the named model
-//! versions, and whether the store answers. Followers keep it current; everything on the request
-//! path only reads it. [`call_plain`] sends one plain request, with its retries.
+//! [`NodeView`] is the box's state: the configuration in force, the targets, the named model
+//! versions, and whether the store responds. Watchers keep it up to date; the request path only
+//! reads it. [`call_plain`] sends one plain request, with its retries.
 
 pub mod assignments;
 mod choice;
 mod clock;
-mod ends;
+mod disconnects;
 pub mod feed;
 pub mod follow;
 pub mod logs;
@@ -25,10 +25,10 @@
 
 pub use choice::{TargetChoice, WorkRequirements, choose_target};
 pub use clock::ClockSource;
-pub use ends::record_disconnect;
+pub use disconnects::record_disconnect;
 pub use metrics::{NodeMetrics, StoreCall, log_counters, serve_metrics};
 pub use plain::{PlainCall, PlainOutcome, call_plain};
-pub use probe::ProbePace;
+pub use probe::ProbeBackoff;
 pub use settings::{
     NodeSettings, RawNodeSettings, RawStorageSettings, SettingsError, StorageSettings,
 };
--- a/crates/node/src/logs.rs
+++ b/crates/node/src/logs.rs
@@ -1,8 +1,8 @@
-//! Structured logs on standard output: one JSON object a line, bounded, never blocking.
+//! Structured logs on standard output, one JSON object per line.
 //!
-//! A line goes into a buffer of bounded size; a thread of its own writes the buffer out. While
-//! standard output takes nothing, lines over the bound are dropped and counted, and the count is
-//! told in one line once there is room again.
+//! Lines go into a bounded buffer that a separate thread writes out, so logging never blocks. While
+//! standard output is blocked, lines beyond the bound are dropped and counted; the count is logged
+//! once there is room again.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
@@ -12,57 +12,57 @@
 use log::kv::{self, Key, Value, VisitSource};
 use serde_json::Map;
 
-/// Bytes of lines that wait to be written.
-const MOST_WAITING: usize = 256 << 10;
-/// Lines gather for this long, so that a burst takes one write.
-const GATHER: Duration = Duration::from_millis(100);
+/// Maximum number of buffered bytes.
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
+/// Delay before a write, so that a burst of lines takes one write.
+const FLUSH_DELAY: Duration = Duration::from_millis(100);
 
 #[derive(Default)]
-struct Waiting {
+struct PendingLines {
     bytes: Vec<u8>,
     dropped: u64,
 }
 
-/// Where lines wait.
+/// Buffer of lines to write.
 #[derive(Clone, Default)]
-struct LineBuffer(Arc<(Mutex<Waiting>, Condvar)>);
+struct LineBuffer(Arc<(Mutex<PendingLines>, Condvar)>);
 
 impl LineBuffer {
     fn add(&self, line: &[u8]) {
-        let (waiting, more) = &*self.0;
-        let mut waiting = waiting.lock().unwrap_or_else(PoisonError::into_inner);
-        if waiting.bytes.len() + line.len() > MOST_WAITING {
-            waiting.dropped += 1;
+        let (pending, available) = &*self.0;
+        let mut pending = pending.lock().unwrap_or_else(PoisonError::into_inner);
+        if pending.bytes.len() + line.len() > MAX_BUFFERED_BYTES {
+            pending.dropped += 1;
             return;
         }
-        let first = waiting.bytes.is_empty();
-        waiting.bytes.extend_from_slice(line);
-        if first {
-            more.notify_one();
+        let was_empty = pending.bytes.is_empty();
+        pending.bytes.extend_from_slice(line);
+        if was_empty {
+            available.notify_one();
         }
     }
 
-    fn take(&self) -> Vec<u8> {
-        let (waiting, more) = &*self.0;
-        let mut waiting = waiting.lock().unwrap_or_else(PoisonError::into_inner);
-        while waiting.bytes.is_empty() {
-            waiting = more.wait(waiting).unwrap_or_else(PoisonError::into_inner);
+    fn wait_and_drain(&self) -> Vec<u8> {
+        let (pending, available) = &*self.0;
+        let mut pending = pending.lock().unwrap_or_else(PoisonError::into_inner);
+        while pending.bytes.is_empty() {
+            pending = available.wait(pending).unwrap_or_else(PoisonError::into_inner);
         }
-        drop(waiting);
-        thread::sleep(GATHER);
-        self.take_now()
+        drop(pending);
+        thread::sleep(FLUSH_DELAY);
+        self.drain()
     }
 
-    fn take_now(&self) -> Vec<u8> {
-        let mut waiting = self.0.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut bytes = mem::take(&mut waiting.bytes);
-        if waiting.dropped > 0 {
+    fn drain(&self) -> Vec<u8> {
+        let mut pending = self.0.0.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut bytes = mem::take(&mut pending.bytes);
+        if pending.dropped > 0 {
             let line = format!(
                 "{{\"part\":\"logs\",\"event\":\"dropped\",\"lines\":{}}}\n",
-                waiting.dropped
+                pending.dropped
             );
             bytes.extend_from_slice(line.as_bytes());
-            waiting.dropped = 0;
+            pending.dropped = 0;
         }
         bytes
     }
@@ -79,7 +79,7 @@
     }
 }
 
-/// Writes out what waits, at the end of a process.
+/// Flushes the log buffer at the end of a process.
 #[derive(Clone)]
 pub struct LogFlush(LineBuffer);
 
@@ -90,18 +90,18 @@
 }
 
 impl LogFlush {
-    /// Writes out what waits.
+    /// Writes the buffered lines.
     pub fn flush(&self) {
-        write_out(&self.0.take_now());
+        write_out(&self.0.drain());
     }
 }
 
 fn write_out(bytes: &[u8]) {
-    // When standard output is gone there is nowhere to tell it.
-    let _unwritten = io::stdout().write_all(bytes);
+    // An error of standard output can't be logged anywhere.
+    let _result = io::stdout().write_all(bytes);
 }
 
-/// Sets up logging to standard output; a second call in one process changes nothing.
+/// Sets up logging to standard output. A second call in a process has no effect.
 pub fn start_logs(box_id: &str, level: log::LevelFilter) -> LogFlush {
     let buffer = LineBuffer::default();
     let box_id = box_id.to_owned();
@@ -119,10 +119,10 @@
         let writer = buffer.clone();
         let spawned = thread::Builder::new().name("logs".to_owned()).spawn(move || {
             loop {
-                write_out(&writer.take());
+                write_out(&writer.wait_and_drain());
             }
         });
-        // Without the thread lines pile up to the bound and are counted as dropped.
+        // Without the thread, lines fill the buffer and are then counted as dropped.
         drop(spawned);
     }
     LogFlush(buffer)
@@ -130,15 +130,15 @@
 
 fn json_line(box_id: &str, message: &fmt::Arguments<'_>, record: &log::Record<'_>) -> String {
     let mut line = Map::new();
-    // Lines of several boxes are put in order by people: the time of day is meant here.
+    // Wall-clock time, so that lines of several boxes can be ordered.
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     line.insert("t".to_owned(), since.as_secs_f64().into());
     line.insert("level".to_owned(), record.level().as_str().to_ascii_lowercase().into());
     line.insert("box".to_owned(), box_id.into());
     line.insert("part".to_owned(), record.target().into());
     line.insert("event".to_owned(), message.to_string().into());
-    // A field that cannot be written is left out of the line.
-    let _left_out = record.key_values().visit(&mut FieldWriter(&mut line));
+    // A field that fails to format is omitted.
+    let _invalid_field = record.key_values().visit(&mut FieldWriter(&mut line));
     serde_json::Value::Object(line).to_string()
 }
 
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a box counts, and the address that tells it.
+//! Metrics of a box, and the server that exports them.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -20,7 +20,7 @@
 use tokio::net::TcpListener;
 use tokio::time;
 
-/// Labels of an outcome: what was done, and how it ended.
+/// Labels of an outcome counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct OutcomeLabels {
     what: &'static str,
@@ -35,12 +35,12 @@
     }
 }
 
-/// What a call to the store does.
+/// Kind of store call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum StoreCall {
-    /// Lists a kind.
+    /// Lists all objects of a kind.
     List,
-    /// Lists a kind as it was a while ago.
+    /// Lists a kind, possibly stale.
     ListOld,
     /// Waits for changes of a kind.
     Watch,
@@ -51,7 +51,7 @@
 }
 
 impl StoreCall {
-    /// The word for metrics and logs.
+    /// Label for metrics and logs.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::List => "list",
@@ -63,7 +63,7 @@
     }
 }
 
-/// Labels of a call to the store: of what kind of object, and what it did.
+/// Labels of a store call counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct CallLabels {
     kind: Kind,
@@ -78,14 +78,14 @@
     }
 }
 
-/// What a box counts. Labels are fixed words, so their number is bounded.
+/// Metrics of a box. Label values are static, so their number is bounded.
 pub struct NodeMetrics {
     registry: Registry,
-    ended: Family<OutcomeLabels, Counter>,
+    outcomes: Family<OutcomeLabels, Counter>,
     latency: Histogram,
     store_calls: Family<CallLabels, Counter>,
-    /// Calls that no line has told yet.
-    untold_calls: Mutex<BTreeMap<(&'static str, &'static str), u64>>,
+    /// Calls since the last log line.
+    unlogged_calls: Mutex<BTreeMap<(&'static str, &'static str), u64>>,
     jobs_held: Gauge,
     items_waiting: Gauge,
     job_bytes: Gauge,
@@ -104,8 +104,8 @@
 impl Default for NodeMetrics {
     fn default() -> Self {
         let mut registry = Registry::with_prefix("gannetway");
-        let ended = Family::default();
-        // From 1 ms, doubling up to 16 s: an answer's aim lies in the middle.
+        let outcomes = Family::default();
+        // From 1 ms, doubling up to 16 s.
         let latency = Histogram::new(exponential_buckets(0.001, 2.0, 15));
         let store_calls = Family::default();
         let (jobs_held, items_waiting, job_bytes) =
@@ -134,7 +134,7 @@
             "Version of the configuration in force",
             config_version.clone(),
         );
-        registry.register("ended", "What ended, and how", ended.clone());
+        registry.register("ended", "What ended, and how", outcomes.clone());
         registry.register_with_unit(
             "request_latency",
             "Time from a request's head to its answer",
@@ -152,10 +152,10 @@
         );
         Self {
             registry,
-            ended,
+            outcomes,
             latency,
             store_calls,
-            untold_calls: Mutex::default(),
+            unlogged_calls: Mutex::default(),
             jobs_held,
             items_waiting,
             job_bytes,
@@ -168,37 +168,37 @@
 }
 
 impl NodeMetrics {
-    /// Counts something that ended.
+    /// Counts an outcome.
     pub fn count_outcome(&self, what: &'static str, outcome: &'static str) {
-        self.ended.get_or_create(&OutcomeLabels { what, outcome }).inc();
+        self.outcomes.get_or_create(&OutcomeLabels { what, outcome }).inc();
     }
 
-    /// Notes how long a request took.
+    /// Records the latency of a request.
     pub fn observe_latency(&self, time: Duration) {
         self.latency.observe(time.as_secs_f64());
     }
 
-    /// Counts a call to the store.
+    /// Counts a store call.
     pub fn store_call(&self, kind: Kind, call: StoreCall) {
         self.store_calls.get_or_create(&CallLabels { kind, call }).inc();
-        *self.untold().entry((kind.as_str(), call.as_str())).or_default() += 1;
+        *self.unlogged_calls().entry((kind.as_str(), call.as_str())).or_default() += 1;
     }
 
-    fn untold(&self) -> MutexGuard<'_, BTreeMap<(&'static str, &'static str), u64>> {
-        self.untold_calls.lock().unwrap_or_else(PoisonError::into_inner)
+    fn unlogged_calls(&self) -> MutexGuard<'_, BTreeMap<(&'static str, &'static str), u64>> {
+        self.unlogged_calls.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Calls to the store since the last time this was asked, as `watch config 12`, by number; none
-    /// when there were none.
+    /// Returns the total and a summary of store calls since the last call, such as `watch config
+    /// 12`; `None` if there were none.
     pub fn take_store_calls(&self) -> Option<(u64, String)> {
-        let calls = std::mem::take(&mut *self.untold());
+        let calls = std::mem::take(&mut *self.unlogged_calls());
         let total = calls.values().sum();
-        let told: Vec<String> =
+        let entries: Vec<String> =
             calls.iter().map(|((kind, call), count)| format!("{call} {kind} {count}")).collect();
-        (total > 0).then(|| (total, told.join(", ")))
+        (total > 0).then(|| (total, entries.join(", ")))
     }
 
-    /// Notes what the shards served here hold.
+    /// Sets the gauges of the shards served here.
     pub fn jobs(&self, held: usize, waiting: usize, bytes: usize) {
         let number = |count: usize| i64::try_from(count).unwrap_or(i64::MAX);
         self.jobs_held.set(number(held));
@@ -206,22 +206,22 @@
         self.job_bytes.set(number(bytes));
     }
 
-    /// Notes which version of the configuration is in force.
+    /// Sets the version of the configuration in force.
     pub fn config_in_force(&self, version: Generation) {
         self.config_version.set(i64::try_from(version.get()).unwrap_or(i64::MAX));
     }
 
-    /// Tells the last window of use that was reported from here.
+    /// Sets the last usage window that this box has reported.
     pub fn window_reported(&self, window: u64) {
         self.window_reported.set(i64::try_from(window).unwrap_or(i64::MAX));
     }
 
-    /// Notes how many entries name no target to use.
+    /// Sets the number of invalid target entries.
     pub fn entries_refused(&self, count: usize) {
         self.entries_refused.set(i64::try_from(count).unwrap_or(i64::MAX));
     }
 
-    /// Notes how many connections to targets are open.
+    /// Sets the number of open connections to targets.
     pub fn connections(&self, open: usize) {
         self.target_connections.set(i64::try_from(open).unwrap_or(i64::MAX));
     }
@@ -234,35 +234,35 @@
     }
 }
 
-/// How often calls to the store and connections are told: two lines a box at most, so that their volume is
-/// bounded however many there are.
-const TELL_EVERY: Duration = Duration::from_secs(10);
+/// Interval of the log lines about store calls and connections. Bounds their volume to two lines
+/// per box and interval.
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Connections are told from this part of what may be open: one part in so many.
-const TELL_CONNECTIONS_PARTS: usize = 2;
+/// Connections are logged when open ones exceed the limit divided by this.
+const CONNECTION_WARNING_DIVISOR: usize = 2;
 
-/// Tells in the log which calls this box makes to the store, while it makes any, and how many connections to
-/// targets it holds where that is many.
+/// Logs store calls, if there were any, and the number of open connections to targets, if it is
+/// high.
 pub async fn log_counters(view: Arc<crate::NodeView>) {
     loop {
-        time::sleep(TELL_EVERY).await;
+        time::sleep(LOG_INTERVAL).await;
         let limit = view.pool.limit();
-        let (open, most) = (limit.open(), limit.most());
-        if open >= most / TELL_CONNECTIONS_PARTS {
-            log::warn!(target: "targets", open = open, most = most; "many connections");
+        let (open, max) = (limit.open(), limit.most());
+        if open >= max / CONNECTION_WARNING_DIVISOR {
+            log::warn!(target: "targets", open = open, most = max; "many connections");
         }
-        if let Some((calls, told)) = view.metrics.take_store_calls() {
-            log::info!(target: "node", dependency = "store", calls = calls, told = told.as_str(); "store calls");
+        if let Some((calls, summary)) = view.metrics.take_store_calls() {
+            log::info!(target: "node", dependency = "store", calls = calls, told = summary.as_str(); "store calls");
         }
     }
 }
 
-/// Serves the metrics as text, under `/metrics`.
+/// Serves the metrics as text under `/metrics`.
 pub async fn serve_metrics(view: Arc<crate::NodeView>, address: SocketAddr) {
     let listener = match TcpListener::bind(address).await {
         Ok(listener) => listener,
         Err(error) => {
-            log::warn!(target: "node", address:% = address, error:% = error; "no metrics");
+            log::warn!(target: "node", address:% = address, error:% = error; "metrics listener failed");
             return;
         }
     };
@@ -275,6 +275,6 @@
     };
     let served = axum::serve(listener, Router::new().route("/metrics", get(page))).await;
     if let Err(error) = served {
-        log::warn!(target: "node", error:% = error; "metrics ended");
+        log::warn!(target: "node", error:% = error; "metrics server stopped");
     }
 }
--- a/crates/node/src/plain.rs
+++ b/crates/node/src/plain.rs
@@ -1,4 +1,4 @@
-//! One plain request, sent to targets until it is answered or nothing may be tried any more.
+//! Sends one plain request to targets until one responds or no further try is allowed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,39 +16,40 @@
     NodeView, TargetChoice, WorkRequirements, choose_target, record_disconnect, request_work,
 };
 
-/// Longest answer that is held whole, in bytes.
-const MOST_ANSWER: usize = 8 << 20;
-/// Tries that no target ran, beyond the route's attempts: full targets answer at once.
-const NOT_RUN_TRIES: u32 = 4;
-/// A try may take this many times the route's goal before another target is tried.
-const TRY_GOALS: u32 = 3;
-/// Shortest time for one try.
-const SHORTEST_TRY: Duration = Duration::from_millis(300);
-/// Goal assumed where a route tells none.
+/// Maximum size of a response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
+/// Maximum number of tries that no target ran, in addition to the route's attempts. Full targets
+/// respond at once.
+const MAX_NOT_RUN_TRIES: u32 = 4;
+/// Timeout of a try that may be followed by another, as a multiple of the route's goal.
+const TRY_TIMEOUT_GOALS: u32 = 3;
+/// Minimum timeout of one try.
+const MIN_TRY_TIMEOUT: Duration = Duration::from_millis(300);
+/// Goal of routes without one.
 const DEFAULT_GOAL: Duration = Duration::from_millis(500);
-/// Pause before a try after every target was full or none was there.
-const FULL_PAUSE: Duration = Duration::from_millis(20);
+/// Pause before the next try when every target is full or there is none.
+const NO_TARGET_PAUSE: Duration = Duration::from_millis(20);
 
-/// One plain request.
+/// A plain request.
 #[derive(Debug)]
 pub struct PlainCall<'a> {
-    /// Its route.
+    /// The route.
     pub route: &'a Route,
-    /// Its id.
+    /// The request id.
     pub request_id: &'a str,
-    /// Its method.
+    /// The request method.
     pub method: Method,
-    /// Its path and query, as the caller sent them.
+    /// Path and query, as the caller sent them.
     pub uri: Uri,
-    /// Its headers, without those of the connection.
+    /// Headers, without hop-by-hop headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
-    /// When the caller stops waiting, or the route's time is over.
+    /// When the caller stops waiting or the route's timeout ends.
     pub deadline: Instant,
-    /// Whether nobody waits for this one call: it is made again until it is answered.
+    /// Whether no caller waits for this call, so that it is repeated until it gets a response.
     pub is_background: bool,
-    /// Whose request it is, for the account of use; the headers name it to the target.
+    /// The customer, for usage counts; the headers name it to the target.
     pub customer: Option<CustomerName>,
 }
 
@@ -58,47 +59,48 @@
     }
 }
 
-/// How a plain request ended.
+/// Outcome of a plain request.
 #[derive(Debug)]
 pub enum PlainOutcome {
-    /// A target answered, perhaps with an error of its own.
+    /// A target responded, possibly with an error of its own.
     Answered(FullResponse),
-    /// No target has run it, and none will.
+    /// No target has run the request, and none will.
     NotRun(&'static str),
-    /// It ends the targets that run it: none has run it this time, and none will.
+    /// The request is quarantined because it crashes targets. No target has run it during this
+    /// call, and none will.
     Quarantined,
-    /// It may have run.
+    /// The request may have run.
     Unknown(&'static str),
 }
 
-enum TryEnd {
+enum TryResult {
     Answered(FullResponse),
     NotRun,
     Broken,
 }
 
-/// What became of one try, for logs and for the board.
+/// Outcome of one try, for logs and the target table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum TryOutcome {
     Answered,
     NotSent,
-    /// This box holds as many connections as it may.
+    /// The box's connection limit is reached.
     NoRoom,
     Silent,
     Broken,
-    /// The answer belongs to another request.
-    OtherAnswer,
-    /// Another life of the target, or another target, has the address.
+    /// The response belongs to another request.
+    MismatchedResponse,
+    /// Another target, or another incarnation of it, has the address.
     OtherTarget,
     Full,
     Unsigned,
 }
 
 impl TryOutcome {
-    /// Whether a target began to run the request, as far as can be told: one that breaks off, or whose answer is
-    /// spoilt, mostly has.
+    /// Whether a target probably started to run the request. One that disconnects or sends an
+    /// invalid response usually has.
     const fn has_begun(self) -> bool {
-        matches!(self, Self::Answered | Self::Broken | Self::OtherAnswer | Self::Unsigned)
+        matches!(self, Self::Answered | Self::Broken | Self::MismatchedResponse | Self::Unsigned)
     }
 
     const fn as_str(self) -> &'static str {
@@ -108,7 +110,7 @@
             Self::NoRoom => "no connection left",
             Self::Silent => "silent",
             Self::Broken => "broken",
-            Self::OtherAnswer => "answer to another request",
+            Self::MismatchedResponse => "answer to another request",
             Self::OtherTarget => "another target",
             Self::Full => "full",
             Self::Unsigned => "unsigned",
@@ -116,61 +118,66 @@
     }
 }
 
-/// Sends a plain request. Only what may be repeated is sent again after it may have run.
+/// Sends a plain request. A request that may have run is only sent again if it is repeatable.
 pub async fn call_plain(view: &Arc<NodeView>, call: PlainCall<'_>) -> PlainOutcome {
     let repeatable = call.route.kind == RouteKind::Safe;
     let work = call.work();
     let mut tried: Vec<InstanceId> = Vec::new();
-    let (mut runs, mut not_run) = (0, 0);
-    let mut last_answer = None;
-    while runs < call.route.attempts && not_run < NOT_RUN_TRIES && Instant::now() < call.deadline {
-        let need = WorkRequirements {
+    let (mut run_count, mut not_run_count) = (0, 0);
+    let mut last_response = None;
+    while run_count < call.route.attempts
+        && not_run_count < MAX_NOT_RUN_TRIES
+        && Instant::now() < call.deadline
+    {
+        let requirements = WorkRequirements {
             work,
             tried: &tried,
             allow_tried: true,
             is_background: call.is_background,
         };
-        let slot = match choose_target(view, call.route, &need) {
+        let slot = match choose_target(view, call.route, &requirements) {
             TargetChoice::Target(slot) => slot,
             TargetChoice::None => {
-                not_run += 1;
+                not_run_count += 1;
                 tried.clear();
-                time::sleep(FULL_PAUSE).await;
+                time::sleep(NO_TARGET_PAUSE).await;
                 continue;
             }
-            // Looked at before each try: the tries before this one may have been enough.
-            TargetChoice::Quarantined if runs == 0 => return condemned(view, &call, work),
+            // Checked before each try, since earlier tries may have caused the quarantine.
+            TargetChoice::Quarantined if run_count == 0 => {
+                return refuse_quarantined(view, &call, work);
+            }
             TargetChoice::Quarantined => break,
         };
-        let last = runs + 1 >= call.route.attempts || !repeatable;
-        let end = try_once(view, &call, work, slot.slot(), last).await;
+        let is_last = run_count + 1 >= call.route.attempts || !repeatable;
+        let result = try_once(view, &call, work, slot.slot(), is_last).await;
         tried.push(slot.slot().instance.clone());
         drop(slot);
-        match end {
-            TryEnd::Answered(answer) if answer.status.is_success() || !repeatable => {
-                return PlainOutcome::Answered(answer);
+        match result {
+            TryResult::Answered(response) if response.status.is_success() || !repeatable => {
+                return PlainOutcome::Answered(response);
             }
-            TryEnd::Answered(answer) => {
-                runs += 1;
-                last_answer = Some(answer);
+            TryResult::Answered(response) => {
+                run_count += 1;
+                last_response = Some(response);
             }
-            TryEnd::NotRun => not_run += 1,
-            TryEnd::Broken if repeatable => runs += 1,
-            TryEnd::Broken => return give_up(view, &call, work, "target broke off"),
+            TryResult::NotRun => not_run_count += 1,
+            TryResult::Broken if repeatable => run_count += 1,
+            TryResult::Broken => return give_up(view, &call, work, "target broke off"),
         }
     }
-    match last_answer {
-        Some(answer) => PlainOutcome::Answered(answer),
-        None if runs == 0 && Instant::now() < call.deadline => {
+    match last_response {
+        Some(response) => PlainOutcome::Answered(response),
+        None if run_count == 0 && Instant::now() < call.deadline => {
             PlainOutcome::NotRun("no target free")
         }
-        None if runs == 0 => PlainOutcome::NotRun("out of time"),
+        None if run_count == 0 => PlainOutcome::NotRun("out of time"),
         None => give_up(view, &call, work, "targets broke off"),
     }
 }
 
-/// The caller hears that the request may have run, and may come again at any box; a call that nobody waits for
-/// comes again here, and need not be told of after a single end.
+/// Reports that the request may have run. The caller may repeat it at any box, so the suspicion is
+/// published after a single crash; a background call is repeated here and needs no report.
 fn give_up(
     view: &NodeView,
     call: &PlainCall<'_>,
@@ -184,12 +191,12 @@
     PlainOutcome::Unknown(reason)
 }
 
-fn condemned(view: &NodeView, call: &PlainCall<'_>, work: WorkDigest) -> PlainOutcome {
+fn refuse_quarantined(view: &NodeView, call: &PlainCall<'_>, work: WorkDigest) -> PlainOutcome {
     view.metrics.count_outcome("work", "condemned");
     log::info!(
         target: "targets", request = call.request_id, work:% = work, route:% = call.route.name,
         ends = view.suspects().crash_count(work), outcome = "condemned";
-        "work turned away"
+        "work refused"
     );
     PlainOutcome::Quarantined
 }
@@ -199,14 +206,14 @@
     call: &PlainCall<'_>,
     work: WorkDigest,
     slot: &ChosenTarget,
-    last: bool,
-) -> TryEnd {
+    is_last: bool,
+) -> TryResult {
     let left = call.deadline.saturating_duration_since(Instant::now());
-    let limit = if last {
+    let limit = if is_last {
         left
     } else {
         let goal = call.route.goal.unwrap_or(DEFAULT_GOAL);
-        left.min((goal * TRY_GOALS).max(SHORTEST_TRY))
+        left.min((goal * TRY_TIMEOUT_GOALS).max(MIN_TRY_TIMEOUT))
     };
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
@@ -214,34 +221,34 @@
     *request.headers_mut() = call.headers.clone();
     headers::set_time_left(request.headers_mut(), left);
     headers::set_instance(request.headers_mut(), &slot.instance);
-    let (started, began) = (Instant::now(), view.now());
+    let (started, sent_at) = (Instant::now(), view.now());
     let sent = async {
-        let answer = view.pool.send(slot.address, request).await?;
-        answer.read_full(MOST_ANSWER).await
+        let response = view.pool.send(slot.address, request).await?;
+        response.read_full(MAX_RESPONSE_BYTES).await
     };
-    let (outcome, end) = match time::timeout(limit, sent).await {
+    let (outcome, result) = match time::timeout(limit, sent).await {
         Err(_elapsed) => {
             view.pool.close_idle();
-            (TryOutcome::Silent, TryEnd::Broken)
+            (TryOutcome::Silent, TryResult::Broken)
         }
-        Ok(Err(SendError::NotSent(_))) => (TryOutcome::NotSent, TryEnd::NotRun),
-        Ok(Err(SendError::LimitReached)) => (TryOutcome::NoRoom, TryEnd::NotRun),
-        Ok(Err(SendError::Broken(_))) => (TryOutcome::Broken, TryEnd::Broken),
-        Ok(Ok(answer)) => judge(view, call, slot, answer),
+        Ok(Err(SendError::NotSent(_))) => (TryOutcome::NotSent, TryResult::NotRun),
+        Ok(Err(SendError::LimitReached)) => (TryOutcome::NoRoom, TryResult::NotRun),
+        Ok(Err(SendError::Broken(_))) => (TryOutcome::Broken, TryResult::Broken),
+        Ok(Ok(response)) => classify_response(view, call, slot, response),
     };
     if let Some(customer) = call.customer.as_ref().filter(|_| outcome.has_begun()) {
-        // What it waited at the target is not known; mostly it is a few milliseconds.
-        view.usage.count(began, customer);
+        // The time spent queued at the target is unknown, usually a few milliseconds.
+        view.usage.count(sent_at, customer);
     }
-    note_try(view, slot, &end, outcome, started.elapsed());
-    let status = match &end {
-        TryEnd::Answered(answer) => answer.status.as_u16(),
+    record_try(view, slot, &result, outcome, started.elapsed());
+    let status = match &result {
+        TryResult::Answered(response) => response.status.as_u16(),
         _ => 0,
     };
     match outcome {
         TryOutcome::Broken => record_disconnect(view, slot, work),
         TryOutcome::OtherTarget => view.suspects().instance_gone(view.now(), &slot.instance),
-        // Whatever the answer is, the target has lived to give it.
+        // Any response shows that the target has not crashed.
         TryOutcome::Answered => view.suspects().succeeded(work),
         _ => {}
     }
@@ -252,60 +259,60 @@
             "try ended"
         );
     }
-    end
+    result
 }
 
-/// Whether an answer is the target's answer to this request.
-fn judge(
+/// Classifies a response and updates the target table.
+fn classify_response(
     view: &NodeView,
     call: &PlainCall<'_>,
     slot: &ChosenTarget,
-    answer: FullResponse,
-) -> (TryOutcome, TryEnd) {
-    let facts = headers::response_info(&answer.headers);
-    if let Some(load) = facts.load {
+    response: FullResponse,
+) -> (TryOutcome, TryResult) {
+    let info = headers::response_info(&response.headers);
+    if let Some(load) = info.load {
         view.target_table().record_load(view.now(), &slot.instance, load);
     }
-    if facts.request_id.as_deref().is_some_and(|id| id != call.request_id) {
-        return (TryOutcome::OtherAnswer, TryEnd::Broken);
+    if info.request_id.as_deref().is_some_and(|id| id != call.request_id) {
+        return (TryOutcome::MismatchedResponse, TryResult::Broken);
     }
-    if answer.status == StatusCode::MISDIRECTED_REQUEST {
+    if response.status == StatusCode::MISDIRECTED_REQUEST {
         view.target_table().failed(view.now(), &slot.instance, TargetFailure::Gone);
-        return (TryOutcome::OtherTarget, TryEnd::NotRun);
+        return (TryOutcome::OtherTarget, TryResult::NotRun);
     }
-    if facts.not_run {
+    if info.not_run {
         view.target_table().failed(view.now(), &slot.instance, TargetFailure::Full);
-        return (TryOutcome::Full, TryEnd::NotRun);
+        return (TryOutcome::Full, TryResult::NotRun);
     }
-    if answer.status.is_success() && !is_signed(&facts) {
-        return (TryOutcome::Unsigned, TryEnd::Broken);
+    if response.status.is_success() && !is_signed(&info) {
+        return (TryOutcome::Unsigned, TryResult::Broken);
     }
-    (TryOutcome::Answered, TryEnd::Answered(answer))
+    (TryOutcome::Answered, TryResult::Answered(response))
 }
 
-fn is_signed(facts: &ResponseInfo) -> bool {
-    facts.signature.is_some()
+fn is_signed(info: &ResponseInfo) -> bool {
+    info.signature.is_some()
 }
 
-fn note_try(
+fn record_try(
     view: &NodeView,
     slot: &ChosenTarget,
-    end: &TryEnd,
+    result: &TryResult,
     outcome: TryOutcome,
     took: Duration,
 ) {
     view.metrics.count_outcome("target_try", outcome.as_str());
-    let mut board = view.target_table();
-    match end {
-        TryEnd::Answered(answer) if answer.status.is_success() => {
-            board.succeeded(view.now(), &slot.instance);
-            board.record_unit_time(&slot.instance, took);
+    let mut targets = view.target_table();
+    match result {
+        TryResult::Answered(response) if response.status.is_success() => {
+            targets.succeeded(view.now(), &slot.instance);
+            targets.record_unit_time(&slot.instance, took);
         }
-        TryEnd::NotRun if outcome == TryOutcome::NotSent => {
-            board.failed(view.now(), &slot.instance, TargetFailure::Broken);
+        TryResult::NotRun if outcome == TryOutcome::NotSent => {
+            targets.failed(view.now(), &slot.instance, TargetFailure::Broken);
         }
-        // An error of the target's own, or a refusal that was noted when it was read.
-        TryEnd::Answered(_) | TryEnd::NotRun => {}
-        TryEnd::Broken => board.failed(view.now(), &slot.instance, TargetFailure::Broken),
+        // An error of the target, or a refusal that `classify_response` has recorded.
+        TryResult::Answered(_) | TryResult::NotRun => {}
+        TryResult::Broken => targets.failed(view.now(), &slot.instance, TargetFailure::Broken),
     }
 }
--- a/crates/node/src/probe.rs
+++ b/crates/node/src/probe.rs
@@ -1,45 +1,44 @@
-//! How often a box asks a store that does not answer whether it is back.
+//! Backoff of probes while the store does not respond.
 //!
-//! The pattern: the store is silent for seven seconds, and hundreds of boxes hear of it from one box of their
-//! failure domain each. That box asks often, and tells the others of the store's return; what they ask for
-//! themselves is for the case that the store serves them and not the one that tells. Asked by all of them
-//! once a second, a store that comes back meets a thousand calls more than it had to.
-//! Boxes that serve jobs ask often all the same: trainers wait for what they do at the store's return.
+//! During an outage most boxes receive store updates from the feed source of their failure domain.
+//! The source probes often and reports the recovery to the others. Their own probes only cover the
+//! case that the store serves them but not the source, so they probe less often; otherwise a
+//! recovering store would receive a burst of calls. Boxes that serve jobs always probe often,
+//! because trainers wait for what they do after the recovery.
 
 use std::time::Duration;
 
-/// Pause after the second failed call in a row; doubles up to [`MOST_PAUSE`]. The first is made
-/// again at once: a watch may be cut without a word while the store is well.
+/// Pause after the second consecutive failure; doubles up to [`MAX_PAUSE`]. The first retry is
+/// immediate, because a watch may be cut while the store is healthy.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// Longest pause after a failed call. Trainers name their versions at the moment of the store's return, and
-/// wait for the engines from then on.
-const MOST_PAUSE: Duration = Duration::from_millis(300);
-/// The pause of a box that another one still answers, though with old news. With a call that waits 0.7 s for
-/// its answer, the box knows of a store that serves it alone within 2.2 s; it has three seconds from the
-/// moment at which its way to the store is well.
-const TOLD_PAUSE: Duration = Duration::from_millis(1_500);
+/// Maximum pause after a failed call. Limits how long trainers wait after the store's recovery.
+const MAX_PAUSE: Duration = Duration::from_millis(300);
+/// Pause of a box whose feed source still responds with stale updates. With a call timeout of 0.7 s
+/// the box detects a store that serves it alone within 2.2 s, of the allowed three.
+const FEED_PAUSE: Duration = Duration::from_millis(1_500);
 
-/// The pauses between calls that fail in a row.
+/// Backoff between consecutive failed calls.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct ProbePace {
-    /// Calls that have failed since the last answer.
+pub struct ProbeBackoff {
+    /// Failures since the last response.
     failures: u32,
 }
 
-impl ProbePace {
-    /// Takes a failed call; the pause before the next one. `told` when another box answers this one.
-    pub fn failed(&mut self, told: bool) -> Duration {
-        let before = self.failures;
+impl ProbeBackoff {
+    /// Records a failed call and returns the pause before the next. `has_source` says whether a
+    /// feed source responds.
+    pub fn record_failure(&mut self, has_source: bool) -> Duration {
+        let failures = self.failures;
         self.failures = self.failures.saturating_add(1);
-        match before {
-            _ if told => TOLD_PAUSE,
+        match failures {
+            _ if has_source => FEED_PAUSE,
             0 => Duration::ZERO,
-            _ => FIRST_PAUSE.saturating_mul(1 << (before - 1).min(8)).min(MOST_PAUSE),
+            _ => FIRST_PAUSE.saturating_mul(1 << (failures - 1).min(8)).min(MAX_PAUSE),
         }
     }
 
-    /// Takes an answer.
-    pub const fn answered(&mut self) {
+    /// Records a response and resets the backoff.
+    pub const fn record_response(&mut self) {
         self.failures = 0;
     }
 }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,4 +1,5 @@
-//! Settings of the roles on the platform: flags and environment variables, checked at start.
+//! Settings of the roles on the platform, from flags and environment variables, validated at
+//! startup.
 
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
@@ -12,7 +13,7 @@
 
 use crate::ClockSource;
 
-/// Settings of both roles, as given.
+/// Unvalidated settings of both roles.
 #[derive(Debug, Clone, Args)]
 pub struct RawNodeSettings {
     /// This box's id, unique in the deployment.
@@ -24,55 +25,56 @@
     /// Address of the box.
     #[arg(long, env = "GANNETWAY_IP")]
     pub ip: IpAddr,
-    /// Where callers come in, as IP:PORT; for the entry role.
+    /// Listen address for callers, as IP:PORT; for the entry role.
     #[arg(long, env = "GANNETWAY_FRONT")]
     pub front: Option<SocketAddr>,
-    /// Where the platform asks whether the box wants connections; for the entry role.
+    /// Listen address of the readiness check, as IP:PORT; for the entry role.
     #[arg(long, env = "GANNETWAY_READY")]
     pub ready: Option<SocketAddr>,
-    /// Port for other boxes.
+    /// Listen port for other boxes.
     #[arg(long, env = "GANNETWAY_PEER_PORT")]
     pub peer_port: u16,
-    /// Where other boxes reach this one, as IP:PORT, if it is not the box's address and peer port.
+    /// Address at which other boxes reach this one, as IP:PORT; defaults to the box's address and
+    /// peer port.
     #[arg(long, env = "GANNETWAY_ADVERTISE")]
     pub advertise: Option<SocketAddr>,
-    /// Port that serves metrics; 0 serves none.
+    /// Port for metrics; 0 disables them.
     #[arg(long, env = "GANNETWAY_METRICS_PORT", default_value_t = 0)]
     pub metrics_port: u16,
-    /// The platform's store, as IP:PORT.
+    /// Address of the platform's store, as IP:PORT.
     #[arg(long, env = "GANNETWAY_STORE")]
     pub store: SocketAddr,
-    /// The deployment's key, shared by all boxes.
+    /// Key shared by all boxes of the deployment.
     #[arg(long, env = "GANNETWAY_KEY", hide_env_values = true)]
     pub key: String,
-    /// Shards into which jobs are divided, the same on all boxes; 0 lets the boxes agree on a number, once,
-    /// by how many of them have disks.
+    /// Number of job shards, the same on all boxes; 0 lets the boxes agree on a number once, based
+    /// on how many have disks.
     #[arg(long, env = "GANNETWAY_SHARDS", default_value_t = 0)]
     pub shards: u32,
-    /// After a request to stop, how long the process may live, in seconds.
+    /// Maximum time between a stop signal and exit, in seconds.
     #[arg(long, env = "GANNETWAY_GRACE_S", default_value_t = 8.0)]
     pub grace_s: f64,
-    /// Descriptors that the process may open; connections to targets keep well below.
+    /// Maximum number of file descriptors; connections to targets stay well below it.
     #[arg(long, env = "GANNETWAY_MAX_FDS", default_value_t = 4_096)]
     pub max_fds: usize,
-    /// Length of the windows in which customers' use is counted and reported, in seconds; empty or 0 where nobody
-    /// wants reports.
+    /// Length of the windows for usage counts and reports, in seconds; empty or 0 disables reports.
     #[arg(long, env = "GANNETWAY_USAGE_WINDOW_S", default_value = "")]
     pub usage_window_s: String,
-    /// Time in which a configuration must be in force after the store has taken it, in milliseconds.
+    /// Time in which a new configuration must take effect after the store has accepted it, in
+    /// milliseconds.
     #[arg(long, env = "GANNETWAY_CONFIG_MS", default_value_t = 2_000)]
     pub config_ms: u64,
-    /// Time in which nothing may go any more to a target that leaves, in milliseconds.
+    /// Time after which a leaving target must receive no more requests, in milliseconds.
     #[arg(long, env = "GANNETWAY_DRAIN_MS", default_value_t = 2_000)]
     pub drain_ms: u64,
-    /// Time in which nothing may go any more to a failure domain that is to be emptied, in milliseconds; empty where
-    /// the platform empties none.
+    /// Time after which a failure domain under evacuation must receive no more requests, in
+    /// milliseconds; empty if the platform evacuates none.
     #[arg(long, env = "GANNETWAY_EVACUATE_MS", default_value = "")]
     pub evacuate_ms: String,
-    /// Factor by which requests to a cold target may exceed what its service says it bears; empty for 1.
+    /// Factor by which requests to a cold target may exceed its service's limit; empty for 1.
     #[arg(long, env = "GANNETWAY_COLD_EXCESS", default_value = "")]
     pub cold_excess: String,
-    /// Requests in a second that a cold target may get beyond that; empty for none.
+    /// Requests per second that a cold target may get beyond that; empty for none.
     #[arg(long, env = "GANNETWAY_COLD_SLACK", default_value = "")]
     pub cold_slack: String,
     /// Log level: error, warn, info, debug or trace.
@@ -80,117 +82,118 @@
     pub log: log::LevelFilter,
 }
 
-/// Settings of the keeping role, as given.
+/// Unvalidated settings of the storage role.
 #[derive(Debug, Clone, Args)]
 pub struct RawStorageSettings {
     /// Settings of both roles.
     #[command(flatten)]
     pub node: RawNodeSettings,
-    /// Folder for data that lasts.
+    /// Directory for persistent data.
     #[arg(long, env = "GANNETWAY_DATA_DIR")]
     pub data_dir: PathBuf,
-    /// Disks that may be lost at once; each shard's log has one copy more.
+    /// Number of disks that may fail at once; each shard's log has one more copy.
     #[arg(long, env = "GANNETWAY_LOSSES", default_value_t = 1)]
     pub losses: usize,
-    /// How long an ended job can be read, in seconds.
+    /// How long a completed job can be read, in seconds.
     #[arg(long, env = "GANNETWAY_RETENTION_S", default_value_t = 120.0)]
     pub retention_s: f64,
-    /// Time after the last order of one holder before another may order, in milliseconds.
+    /// Delay after the last order of one lease holder before another may order, in milliseconds.
     #[arg(long, env = "GANNETWAY_ORDER_GAP_MS", default_value_t = 3_000)]
     pub order_gap_ms: u64,
-    /// Memory of the box, in MB; jobs may take a third of it.
+    /// Memory of the box, in MB; jobs may use a third of it.
     #[arg(long, env = "GANNETWAY_MEMORY_MB", default_value_t = 256)]
     pub memory_mb: usize,
-    /// One engine in this many may load weights at a time.
+    /// At most one in this many engines loads weights at a time.
     #[arg(long, env = "GANNETWAY_LOAD_PARTS", default_value_t = 5)]
     pub load_parts: usize,
-    /// Where the platform takes reports of use and orders of replicas, as IP:PORT; empty where it takes none.
+    /// Address of the platform's accounting service for usage reports and replica orders, as
+    /// IP:PORT; empty if there is none.
     #[arg(long, env = "GANNETWAY_ACCOUNTS", default_value = "")]
     pub accounts: String,
-    /// How long after its window's end a report of use is due, in seconds.
+    /// How long after the end of its window a usage report is due, in seconds.
     #[arg(long, env = "GANNETWAY_USAGE_LATE_S", default_value = "")]
     pub usage_late_s: String,
 }
 
-/// Checked settings of both roles.
+/// Validated settings of both roles.
 #[derive(Debug, Clone)]
 pub struct NodeSettings {
-    /// This box.
+    /// Id of this box.
     pub box_id: BoxId,
-    /// Its failure domain.
+    /// Failure domain of this box.
     pub domain: DomainId,
-    /// Its address.
+    /// Address of this box.
     pub ip: IpAddr,
-    /// Where callers come in.
+    /// Listen address for callers.
     pub front: Option<SocketAddr>,
-    /// Where readiness is asked.
+    /// Listen address of the readiness check.
     pub ready: Option<SocketAddr>,
-    /// Where other boxes come in.
+    /// Listen address for other boxes.
     pub peer: SocketAddr,
-    /// Where other boxes reach it: the same, unless something stands in between.
+    /// Address at which other boxes reach this one; differs from `peer` behind a proxy.
     pub advertised: SocketAddr,
-    /// Where metrics are served.
+    /// Listen address for metrics.
     pub metrics: Option<SocketAddr>,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
     /// The deployment's key.
     pub key: DeploymentKey,
-    /// Shards of jobs; 0 for as many as the boxes agree on.
+    /// Number of job shards; 0 if the boxes agree on it.
     pub shards: u32,
-    /// Descriptors that the process may open.
+    /// Maximum number of file descriptors.
     pub max_fds: usize,
-    /// The clock of what the box believes; the machine's but in tests.
+    /// Time source of the box's clock; the machine's except in tests.
     pub clock: ClockSource,
-    /// Time to stop in.
+    /// Maximum time between a stop signal and exit.
     pub grace: Duration,
-    /// Length of the windows of use; `None` where nobody wants reports.
+    /// Length of the usage windows; `None` if usage is not reported.
     pub usage_window: Option<WindowLength>,
-    /// How soon a change that binds callers must be heeded.
+    /// Time in which a change that affects callers must take effect.
     pub propagation_bound: Duration,
-    /// Whether the platform asks for failure domains to be emptied.
+    /// Whether the platform evacuates failure domains.
     pub evacuations: bool,
-    /// How far requests to a cold target may go above what it bears.
+    /// How far requests to a cold target may exceed its limit.
     pub cold_bound: ColdBound,
     /// Log level.
     pub log: log::LevelFilter,
 }
 
-/// Checked settings of the keeping role.
+/// Validated settings of the storage role.
 #[derive(Debug, Clone)]
 pub struct StorageSettings {
     /// Settings of both roles.
     pub node: NodeSettings,
-    /// Folder for data.
+    /// Data directory.
     pub data_dir: PathBuf,
-    /// Copies of each shard's log.
+    /// Number of copies of each shard's log.
     pub copies: usize,
-    /// How long an ended job is held.
+    /// How long a completed job is kept.
     pub retention: Duration,
-    /// Time between the orders of two holders.
+    /// Minimum delay between orders of two lease holders.
     pub order_gap: Duration,
-    /// Bytes that jobs may take.
+    /// Memory limit for jobs, in bytes.
     pub job_bytes: usize,
-    /// One engine in this many may load at a time.
+    /// At most one in this many engines loads weights at a time.
     pub load_parts: usize,
-    /// Where the platform takes reports of use and orders of replicas.
+    /// Address of the platform's accounting service.
     pub accounts: Option<SocketAddr>,
-    /// How long after its window's end a report of use is due.
+    /// How long after the end of its window a usage report is due.
     pub usage_late: Duration,
 }
 
-/// All faults of the settings, each with its remedy.
+/// All invalid settings, each with a remedy.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("the settings cannot be used:\n  {}", .0.join("\n  "))]
 pub struct SettingsError(pub Vec<String>);
 
-/// How long after its window's end a report is due where the settings do not say.
-const USUAL_LATE: Duration = Duration::from_secs(10);
-/// Longest time to stop in, in seconds.
-const MOST_GRACE_S: f64 = 600.0;
-/// Most shares of jobs: each costs a plan in the store.
-const MOST_SHARDS: u32 = 256;
+/// Default of [`StorageSettings::usage_late`].
+const DEFAULT_USAGE_LATE: Duration = Duration::from_secs(10);
+/// Maximum of `grace_s`, in seconds.
+const MAX_GRACE_S: f64 = 600.0;
+/// Maximum number of shards; each needs a plan in the store.
+const MAX_SHARDS: u32 = 256;
 
-/// Seconds that a template may leave empty: nothing is zero, `None` what is no time.
+/// Parses seconds. Empty text, as left by templates, is zero. Returns `None` if invalid.
 fn read_seconds(text: &str) -> Option<Duration> {
     let text = text.trim();
     if text.is_empty() {
@@ -200,18 +203,19 @@
     Duration::try_from_secs_f64(seconds).ok()
 }
 
-/// A number of 0 or more that a template may leave empty: then it is `usual`; `None` what is no such number.
-fn read_number(text: &str, usual: f64) -> Option<f64> {
+/// Parses a non-negative number. Empty text, as left by templates, is `default`. Returns `None` if
+/// invalid.
+fn read_number(text: &str, default: f64) -> Option<f64> {
     let text = text.trim();
     if text.is_empty() {
-        return Some(usual);
+        return Some(default);
     }
     text.parse().ok().filter(|number: &f64| number.is_finite() && *number >= 0.0)
 }
 
 impl RawNodeSettings {
-    /// What the platform says of places, and the faults of it.
-    fn check_places(&self, faults: &mut Vec<String>) -> (bool, ColdBound) {
+    /// Validates the bounds that the platform sets, and adds their faults to `faults`.
+    fn check_platform_bounds(&self, faults: &mut Vec<String>) -> (bool, ColdBound) {
         let evacuate = read_number(&self.evacuate_ms, 0.0);
         if evacuate.is_none() {
             faults.push(format!(
@@ -219,23 +223,23 @@
                 self.evacuate_ms
             ));
         }
-        let usual = ColdBound::default();
-        let excess = read_number(&self.cold_excess, usual.excess);
+        let default = ColdBound::default();
+        let excess = read_number(&self.cold_excess, default.excess);
         if excess.is_none() {
             faults.push(format!("--cold-excess is `{}`: give a factor", self.cold_excess));
         }
-        let slack = read_number(&self.cold_slack, usual.slack);
+        let slack = read_number(&self.cold_slack, default.slack);
         if slack.is_none() {
             faults.push(format!("--cold-slack is `{}`: give a number", self.cold_slack));
         }
         let bound = ColdBound {
-            excess: excess.unwrap_or(usual.excess),
-            slack: slack.unwrap_or(usual.slack),
+            excess: excess.unwrap_or(default.excess),
+            slack: slack.unwrap_or(default.slack),
         };
         (evacuate.is_some_and(|time| time > 0.0), bound)
     }
 
-    /// Checks every value; reports all faults together.
+    /// Validates all values. An error lists every fault.
     pub fn check(&self) -> Result<NodeSettings, SettingsError> {
         let mut faults = Vec::new();
         let name = "use 1 to 64 characters from a-z, A-Z, 0-9, `-`, `_` and `.`";
@@ -251,11 +255,11 @@
         if let Err(error) = &key {
             faults.push(format!("--key: {error}"));
         }
-        if self.shards > MOST_SHARDS {
-            faults.push(format!("--shards is {}: give 0 to {MOST_SHARDS}", self.shards));
+        if self.shards > MAX_SHARDS {
+            faults.push(format!("--shards is {}: give 0 to {MAX_SHARDS}", self.shards));
         }
-        if !(0.0..=MOST_GRACE_S).contains(&self.grace_s) {
-            faults.push(format!("--grace-s is {}: give 0 to {MOST_GRACE_S}", self.grace_s));
+        if !(0.0..=MAX_GRACE_S).contains(&self.grace_s) {
+            faults.push(format!("--grace-s is {}: give 0 to {MAX_GRACE_S}", self.grace_s));
         }
         if self.max_fds == 0 {
             faults
@@ -271,7 +275,7 @@
                 self.usage_window_s
             ));
         }
-        let (evacuations, cold_bound) = self.check_places(&mut faults);
+        let (evacuations, cold_bound) = self.check_platform_bounds(&mut faults);
         let (Ok(box_id), Ok(domain), Ok(key)) = (box_id, domain, key) else {
             return Err(SettingsError(faults));
         };
@@ -303,12 +307,12 @@
     }
 }
 
-/// Jobs may take one part in this many of the box's memory; the log's replay, texts on their way
-/// and answers being written take the rest.
-const JOB_MEMORY_PARTS: usize = 3;
+/// Share of the box's memory for jobs, as a divisor. The rest is for log replay, request and
+/// response bodies.
+const JOB_MEMORY_DIVISOR: usize = 3;
 
 impl RawStorageSettings {
-    /// Checks every value; reports all faults together.
+    /// Validates all values. An error lists every fault.
     pub fn check(&self) -> Result<StorageSettings, SettingsError> {
         let node = self.node.check()?;
         let mut faults = Vec::new();
@@ -341,10 +345,10 @@
             copies: self.losses + 1,
             retention: Duration::from_secs_f64(self.retention_s),
             order_gap: Duration::from_millis(self.order_gap_ms),
-            job_bytes: (self.memory_mb << 20) / JOB_MEMORY_PARTS,
+            job_bytes: (self.memory_mb << 20) / JOB_MEMORY_DIVISOR,
             load_parts: self.load_parts,
             accounts,
-            usage_late: late.filter(|late| !late.is_zero()).unwrap_or(USUAL_LATE),
+            usage_late: late.filter(|late| !late.is_zero()).unwrap_or(DEFAULT_USAGE_LATE),
         })
     }
 }
--- a/crates/node/src/sinks.rs
+++ b/crates/node/src/sinks.rs
@@ -1,4 +1,4 @@
-//! What becomes of the objects that followers hear of: the box's belief.
+//! Sinks that apply store objects to the box's state.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,20 +11,20 @@
 use crate::NodeView;
 use crate::follow::KindSink;
 
-/// Objects that the store tells in one answer.
+/// Objects per page of a store listing.
 const LIST_PAGE: usize = 500;
-/// Lines about the targets of one piece of news; where there are more of them, one line counts them. Each of hundreds
-/// of boxes hears of thousands of targets that start or end together.
-const MOST_LINES: usize = 16;
-/// How often it is looked whether missing targets are gone.
-const MISSING_LOOK: Duration = Duration::from_millis(100);
+/// Maximum number of log lines about targets per update; larger updates are logged as one line.
+/// Thousands of targets may change together, and every box logs them.
+const MAX_LOG_LINES: usize = 16;
+/// Interval of checks for missing targets whose grace period is over.
+const MISSING_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Keeps the configuration.
+/// Applies the configuration.
 #[derive(Debug)]
 pub struct ConfigSink(pub Arc<NodeView>);
 
 impl ConfigSink {
-    fn offer(&self, stored: &Stored) {
+    fn apply(&self, stored: &Stored) {
         if stored.name != platform::config::CONFIG_NAME {
             return;
         }
@@ -34,7 +34,7 @@
                 let customers = table.customers().cloned().unwrap_or_default();
                 if self.0.offer_table(table) {
                     for fault in customers.faults() {
-                        log::warn!(target: "config", version = version.get(), error:% = fault; "customers are odd");
+                        log::warn!(target: "config", version = version.get(), error:% = fault; "customer configuration has faults");
                     }
                     log::info!(target: "config", version = version.get(), revision = stored.revision, customers = customers.len(); "in force");
                 }
@@ -49,17 +49,17 @@
 impl KindSink for ConfigSink {
     fn changed(&mut self, change: &Changed) {
         if let Changed::Put(stored) = change {
-            self.offer(stored);
+            self.apply(stored);
         }
     }
 }
 
-/// Keeps the named model versions.
+/// Applies the named model versions.
 #[derive(Debug)]
 pub struct VersionSink(pub Arc<NodeView>);
 
 impl VersionSink {
-    fn offer(&self, stored: &Stored) {
+    fn apply(&self, stored: &Stored) {
         match platform::config::read_version(stored) {
             Ok((model, version)) => {
                 log::info!(target: "config", model:% = model, weight_version = version.get(); "version named");
@@ -73,12 +73,12 @@
 impl KindSink for VersionSink {
     fn changed(&mut self, change: &Changed) {
         if let Changed::Put(stored) = change {
-            self.offer(stored);
+            self.apply(stored);
         }
     }
 }
 
-/// Keeps which failure domains are to be emptied.
+/// Applies which failure domains are to be evacuated.
 #[derive(Debug)]
 pub struct EvacuationSink(pub Arc<NodeView>);
 
@@ -90,7 +90,7 @@
         }
         let outcome = if evacuated { "emptied" } else { "in use" };
         self.0.metrics.count_outcome("evacuation", outcome);
-        log::info!(target: "targets", domain:% = domain, revision = revision, outcome = outcome; "domain");
+        log::info!(target: "targets", domain:% = domain, revision = revision, outcome = outcome; "evacuation state changed");
         self.0.wake();
     }
 }
@@ -122,38 +122,38 @@
     }
 }
 
-/// Targets whose entry is missing shortly after the store's return, each with the moment until
-/// which it may come back.
+/// Targets whose entry is missing shortly after the store's recovery, each with the time until
+/// which it may reappear.
 type MissingTargets = Arc<Mutex<HashMap<InstanceId, Moment>>>;
 
-/// Keeps the targets.
+/// Applies the targets.
 #[derive(Debug)]
 pub struct TargetSink {
     view: Arc<NodeView>,
     missing: MissingTargets,
-    /// Entries that name no target to use, each with the revision that was refused.
+    /// Invalid entries, each with the refused revision.
     refused: Mutex<HashMap<String, u64>>,
 }
 
 impl TargetSink {
-    /// A sink for the view's board.
+    /// Creates a sink for the view's target table.
     pub fn new(view: Arc<NodeView>) -> Self {
         Self { view, missing: Arc::default(), refused: Mutex::default() }
     }
 
-    /// Takes a target; `told` when the line of a whole listing tells of it.
-    fn put(&self, stored: &Stored, told: bool) {
+    /// Adds or updates a target. `summarized` is set if one log line covers the whole update.
+    fn put(&self, stored: &Stored, summarized: bool) {
         match platform::targets::read_target(stored) {
             Ok(record) => {
                 let (known, born) = {
-                    let board = self.view.target_table();
-                    let known = board.record(&record.instance);
+                    let targets = self.view.target_table();
+                    let known = targets.record(&record.instance);
                     (known.map(|known| known.leaving), known.map(|known| known.born))
                 };
                 if born.is_some_and(|born| born != record.born) {
                     self.view.suspects().instance_gone(self.view.now(), &record.instance);
                 }
-                if known != Some(record.leaving) && !told {
+                if known != Some(record.leaving) && !summarized {
                     log::info!(
                         target: "targets", target:% = record.instance, service:% = record.service,
                         leaving = record.leaving, revision = stored.revision;
@@ -161,19 +161,19 @@
                     );
                 }
                 if record.leaving {
-                    // The word may come after its end.
+                    // This update may arrive after the target has stopped, which was no crash.
                     self.view.suspects().clear_incarnation(&record.incarnation());
                     self.view.suspects_changed();
                 }
                 lock(&self.missing).remove(&record.instance);
-                self.accept(&stored.name);
+                self.clear_refused(&stored.name);
                 self.view.target_table().put(self.view.now(), record);
             }
             Err(error) => self.refuse(stored, &error),
         }
     }
 
-    /// Takes an entry that names no target to use: whatever stood under its name is gone.
+    /// Refuses an invalid entry and removes any target of its name.
     fn refuse(&self, stored: &Stored, error: &FormatError) {
         let is_new = lock(&self.refused).insert(stored.name.clone(), stored.revision);
         self.count_refused();
@@ -188,7 +188,7 @@
         }
     }
 
-    fn accept(&self, name: &str) {
+    fn clear_refused(&self, name: &str) {
         if lock(&self.refused).remove(name).is_some() {
             self.count_refused();
         }
@@ -198,9 +198,9 @@
         self.view.metrics.entries_refused(lock(&self.refused).len());
     }
 
-    /// Takes targets off, at once or, shortly after the store's return, once their entry has
-    /// had time to come back.
-    fn missing(&self, instances: Vec<InstanceId>) {
+    /// Removes targets, immediately or, shortly after the store's recovery, after a grace period in
+    /// which their entry may reappear.
+    fn remove_after_grace(&self, instances: Vec<InstanceId>) {
         if instances.is_empty() {
             return;
         }
@@ -211,12 +211,12 @@
         }
         let until = self.view.now() + grace;
         let mut missing = lock(&self.missing);
-        let watched = !missing.is_empty();
+        let is_checking = !missing.is_empty();
         for instance in instances {
             missing.entry(instance).or_insert(until);
         }
-        if !watched {
-            tokio::spawn(remove_missing(Arc::clone(&self.view), Arc::clone(&self.missing)));
+        if !is_checking {
+            tokio::spawn(remove_expired(Arc::clone(&self.view), Arc::clone(&self.missing)));
         }
     }
 }
@@ -225,23 +225,23 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Takes missing targets off as their time comes, until none is missing. While the store is away
-/// nobody can say that an entry has not come back.
-async fn remove_missing(view: Arc<NodeView>, missing: MissingTargets) {
+/// Removes missing targets when their grace period ends, until none is left. Extends the period
+/// during a store outage, when entries can't reappear.
+async fn remove_expired(view: Arc<NodeView>, missing: MissingTargets) {
     loop {
-        time::sleep(MISSING_LOOK).await;
+        time::sleep(MISSING_CHECK_INTERVAL).await;
         let now = view.now();
-        let mut left = lock(&missing);
+        let mut pending = lock(&missing);
         if !view.store_state().up {
-            let later = now + view.entry_grace();
-            left.values_mut().for_each(|until| *until = later);
+            let deadline = now + view.entry_grace();
+            pending.values_mut().for_each(|until| *until = deadline);
             continue;
         }
-        let gone: Vec<InstanceId> =
-            left.extract_if(|_, until| now >= *until).map(|(instance, _)| instance).collect();
-        let done = left.is_empty();
-        drop(left);
-        remove_targets(&view, &gone);
+        let expired: Vec<InstanceId> =
+            pending.extract_if(|_, until| now >= *until).map(|(instance, _)| instance).collect();
+        let done = pending.is_empty();
+        drop(pending);
+        remove_targets(&view, &expired);
         view.wake();
         if done {
             return;
@@ -250,12 +250,12 @@
 }
 
 fn remove_targets(view: &NodeView, instances: &[InstanceId]) {
-    let told = instances.len() > MOST_LINES;
-    if told {
+    let summarized = instances.len() > MAX_LOG_LINES;
+    if summarized {
         log::info!(target: "targets", targets = instances.len(); "gone");
     }
     for instance in instances {
-        if !told {
+        if !summarized {
             log::info!(target: "targets", target:% = instance; "gone");
         }
         view.target_table().remove(instance);
@@ -265,7 +265,8 @@
 
 impl KindSink for TargetSink {
     fn listed(&mut self, listing: &Listing) {
-        // The first listing is told in one line: each of hundreds of boxes lists hundreds of targets.
+        // Logs the first listing as one line, since each of hundreds of boxes lists hundreds of
+        // targets.
         let is_first = self.view.target_table().instances().next().is_none();
         if is_first {
             log::info!(
@@ -287,7 +288,7 @@
             .filter(|instance| !listed.contains(instance.as_str()))
             .cloned()
             .collect();
-        self.missing(missing);
+        self.remove_after_grace(missing);
         self.view.pool.sweep();
         self.view.wake();
     }
@@ -297,26 +298,26 @@
     }
 
     fn changed_all(&mut self, changes: &[Changed]) {
-        let told = changes.len() > MOST_LINES;
-        // One answer may tell of the end of an entry and of its return.
-        let mut gone: HashSet<&str> = HashSet::new();
+        let summarized = changes.len() > MAX_LOG_LINES;
+        // A batch may contain both the removal of an entry and its return.
+        let mut removed: HashSet<&str> = HashSet::new();
         for change in changes {
             match change {
                 Changed::Put(stored) => {
-                    gone.remove(stored.name.as_str());
-                    self.put(stored, told);
+                    removed.remove(stored.name.as_str());
+                    self.put(stored, summarized);
                 }
                 Changed::Removed(name) => {
-                    self.accept(name);
-                    gone.insert(name);
+                    self.clear_refused(name);
+                    removed.insert(name);
                 }
             }
         }
-        if told {
-            log::info!(target: "targets", changes = changes.len(), gone = gone.len(); "listed");
+        if summarized {
+            log::info!(target: "targets", changes = changes.len(), gone = removed.len(); "listed");
         }
-        self.missing(gone.into_iter().filter_map(|name| name.parse().ok()).collect());
-        // Whatever rests at targets that are gone or idle goes as well.
+        self.remove_after_grace(removed.into_iter().filter_map(|name| name.parse().ok()).collect());
+        // Closes idle connections and those to removed targets.
         self.view.pool.sweep();
         self.view.wake();
     }
@@ -325,8 +326,8 @@
         self.view.target_table().instances().nth(LIST_PAGE).is_some()
     }
 
-    /// Entries that come back are awaited.
-    fn may_gather(&self) -> bool {
+    /// Batching would delay the return of missing entries.
+    fn allows_batching(&self) -> bool {
         lock(&self.missing).is_empty()
     }
 }
--- a/crates/node/src/slot.rs
+++ b/crates/node/src/slot.rs
@@ -1,4 +1,4 @@
-//! A place at a target, taken for one piece of work.
+//! A slot at a target, held by one piece of work.
 
 use std::sync::Arc;
 
@@ -7,8 +7,7 @@
 
 use crate::NodeView;
 
-/// A place at a target for one piece of work; it is given back when it is dropped, also when its caller leaves in the
-/// middle of it.
+/// Holds a slot at a target and releases it on drop, also when the caller disconnects.
 #[derive(Debug)]
 pub struct SlotGuard {
     view: Arc<NodeView>,
@@ -17,7 +16,7 @@
 }
 
 impl SlotGuard {
-    /// Takes over a slot that the board has counted.
+    /// Takes ownership of a slot that the target table has counted.
     pub fn new(view: &Arc<NodeView>, work: WorkDigest, slot: ChosenTarget) -> Self {
         view.suspects().work_started(work, &slot.instance);
         Self { view: Arc::clone(view), work, slot }
@@ -28,7 +27,7 @@
         self.work
     }
 
-    /// Where the work runs.
+    /// The target that runs the work.
     pub const fn slot(&self) -> &ChosenTarget {
         &self.slot
     }
--- a/crates/node/src/stop.rs
+++ b/crates/node/src/stop.rs
@@ -1,11 +1,11 @@
-//! Signals.
+//! Process signals.
 
 use std::io;
 
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Returns when the process is asked to stop. A hang-up only means that the settings file has
-/// changed; nothing in it that this process uses changes while it runs.
+/// Waits for SIGTERM or SIGINT. Ignores SIGHUP, since no setting of this process can change while
+/// it runs.
 pub async fn wait_for_stop() -> io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
--- a/crates/node/src/usage.rs
+++ b/crates/node/src/usage.rs
@@ -1,4 +1,4 @@
-//! What a box counts and hears of its customers' use, and true time as it knows it.
+//! Usage counts per customer, and the cluster time.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -10,32 +10,32 @@
 };
 use wire::peer::UsageCell;
 
-/// Windows that are held, beside the present one: reports are caught up for as many.
-const HELD_WINDOWS: u64 = 26;
+/// Number of past windows to retain, so that late reports can be completed.
+const RETAINED_WINDOWS: u64 = 26;
 
-/// This box's own reading of the time of day; it may step.
+/// This box's wall clock, which may step.
 pub fn wall_time() -> UnixTime {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     UnixTime::new(u64::try_from(since.as_millis()).unwrap_or(u64::MAX))
 }
 
-/// Up to which version which life of another box has been told.
+/// The version up to which counts were reported to an incarnation of a peer.
 #[derive(Debug, Clone)]
-struct ToldCounts {
+struct ReportedCounts {
     peer: BoxId,
-    life: Incarnation,
+    incarnation: Incarnation,
     version: TableVersion,
 }
 
-/// Counts of use at one box.
+/// Usage counts of one box and those received from others.
 #[derive(Debug)]
 pub struct UsageTracker {
-    /// None where nobody wants reports.
+    /// `None` if usage is not reported.
     length: Option<WindowLength>,
     source: CountSource,
     clock: Mutex<ClusterClock>,
     table: Mutex<UsageTable>,
-    told: Mutex<Option<ToldCounts>>,
+    reported: Mutex<Option<ReportedCounts>>,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -43,117 +43,120 @@
 }
 
 impl UsageTracker {
-    /// A board of a box that begins its life now; it counts where windows have a length.
+    /// Creates a tracker for a new incarnation of the box. It counts only if windows have a length.
     pub fn new(box_id: BoxId, length: Option<WindowLength>) -> Self {
-        // A later life has a larger number, unless the time of day steps back at just that time: then its
-        // counts fall in with the earlier life's.
-        let life = Incarnation::new(wall_time().millis());
+        // A later incarnation has a larger number, unless the wall clock has stepped back by the
+        // time between them. Then its counts are merged with those of the earlier one.
+        let incarnation = Incarnation::new(wall_time().millis());
         Self {
             length,
-            source: CountSource { box_id, incarnation: life },
+            source: CountSource { box_id, incarnation },
             clock: Mutex::default(),
             table: Mutex::default(),
-            told: Mutex::default(),
+            reported: Mutex::default(),
         }
     }
 
-    /// The life that this process is.
+    /// The incarnation of this process.
     pub const fn incarnation(&self) -> Incarnation {
         self.source.incarnation
     }
 
-    /// How long windows are; `None` where nobody wants reports.
+    /// Length of the windows; `None` if usage is not reported.
     pub const fn length(&self) -> Option<WindowLength> {
         self.length
     }
 
-    /// True time at a moment, past or present; the box's own time of day before it has heard any.
+    /// Cluster time at a moment, past or present; the wall clock until a cluster time is known.
     pub fn time_at(&self, at: Moment) -> UnixTime {
         lock(&self.clock).now(at).unwrap_or_else(wall_time)
     }
 
-    /// Whether several boxes have agreed on the time.
+    /// Whether several boxes have agreed on the cluster time.
     pub fn is_time_agreed(&self) -> bool {
         lock(&self.clock).is_anchored()
     }
 
-    /// Takes what a box, this one included, reads as its time of day.
+    /// Records the wall clock reading of a box, which may be this one.
     pub fn record_peer_time(&self, now: Moment, from: &BoxId, time: UnixTime) {
         lock(&self.clock).observe(now, from, time);
     }
 
-    /// Takes true time from a box that has agreed on it with others.
+    /// Adopts cluster time from a box that has agreed on it with others.
     pub fn follow_time(&self, now: Moment, time: UnixTime) {
         lock(&self.clock).follow(now, time);
     }
 
-    /// Counts a request of a customer that a target began at `began`.
-    pub fn count(&self, began: Moment, customer: &CustomerName) {
+    /// Counts a customer's request that a target started to run at `started_at`.
+    pub fn count(&self, started_at: Moment, customer: &CustomerName) {
         let Some(length) = self.length else { return };
-        let window = length.window_of(self.time_at(began));
+        let window = length.window_of(self.time_at(started_at));
         let mut table = lock(&self.table);
         table.count(&self.source, window, customer);
-        table.forget_before(window.back(HELD_WINDOWS));
+        table.forget_before(window.back(RETAINED_WINDOWS));
     }
 
-    /// Takes what another box tells.
+    /// Merges counts received from another box.
     pub fn merge(&self, cells: &[UsageCell]) {
         if cells.is_empty() {
             return;
         }
         let mut table = lock(&self.table);
         for cell in cells {
-            match read_cell(cell) {
+            match cell_from_wire(cell) {
                 Some(count) => table.merge(count),
                 None => {
-                    log::warn!(target: "usage", peer = cell.box_id.as_str(); "count refused: a name is no id");
+                    log::warn!(target: "usage", peer = cell.box_id.as_str(); "usage count refused: invalid id");
                 }
             }
         }
     }
 
-    /// All that is known of a window.
+    /// Returns the requests per customer in a window.
     pub fn totals(&self, window: UsageWindow) -> std::collections::BTreeMap<CustomerName, u64> {
         lock(&self.table).totals(window)
     }
 
-    /// Forgets windows that are not held any more.
+    /// Drops windows that are no longer retained.
     pub fn forget(&self, now: Moment) {
         let Some(length) = self.length else { return };
         let window = length.window_of(self.time_at(now));
-        lock(&self.table).forget_before(window.back(HELD_WINDOWS));
+        lock(&self.table).forget_before(window.back(RETAINED_WINDOWS));
     }
 
-    /// What `peer` has not been told yet, and the version that it reaches.
-    pub fn untold(&self, peer: &BoxId) -> (Vec<UsageCell>, TableVersion) {
-        let told = lock(&self.told).clone().filter(|told| told.peer == *peer);
-        self.since(told.map(|told| told.version).unwrap_or_default())
+    /// Returns the counts not yet reported to `peer`, and the version they reach.
+    pub fn unreported(&self, peer: &BoxId) -> (Vec<UsageCell>, TableVersion) {
+        let reported = lock(&self.reported).clone().filter(|reported| reported.peer == *peer);
+        self.since(reported.map(|reported| reported.version).unwrap_or_default())
     }
 
-    /// What has changed since a version, and the version that it reaches.
+    /// Returns the counts that changed since a version, and the version they reach.
     pub fn since(&self, version: TableVersion) -> (Vec<UsageCell>, TableVersion) {
         let table = lock(&self.table);
-        (table.since(version).iter().map(write_cell).collect(), table.version())
+        (table.since(version).iter().map(cell_to_wire).collect(), table.version())
     }
 
-    /// Notes that `peer`, in this life, has been told up to a version. Where it had been told before in another
-    /// life, it heard the last changes alone, and has to be told everything anew.
-    pub fn note_told(&self, peer: &BoxId, life: Incarnation, version: TableVersion) {
-        let mut told = lock(&self.told);
-        let restarted = told.as_ref().is_some_and(|told| told.peer == *peer && told.life != life);
+    /// Records that counts up to a version were reported to this incarnation of `peer`. If the peer
+    /// has restarted since the last report, it has only received the latest changes, so everything
+    /// is reported again.
+    pub fn record_reported(&self, peer: &BoxId, incarnation: Incarnation, version: TableVersion) {
+        let mut reported = lock(&self.reported);
+        let restarted = reported
+            .as_ref()
+            .is_some_and(|reported| reported.peer == *peer && reported.incarnation != incarnation);
         let version = if restarted { TableVersion::default() } else { version };
-        *told = Some(ToldCounts { peer: peer.clone(), life, version });
+        *reported = Some(ReportedCounts { peer: peer.clone(), incarnation, version });
     }
 
-    /// Whether all that this box counted has been told to some other box.
+    /// Whether everything that this box counted was reported to some other box.
     pub fn is_fully_reported(&self) -> bool {
         let version = lock(&self.table).version();
         version == TableVersion::default()
-            || lock(&self.told).as_ref().is_some_and(|told| told.version >= version)
+            || lock(&self.reported).as_ref().is_some_and(|reported| reported.version >= version)
     }
 }
 
-fn write_cell(count: &UsageCount) -> UsageCell {
+fn cell_to_wire(count: &UsageCount) -> UsageCell {
     UsageCell {
         box_id: count.source.box_id.to_string(),
         incarnation: count.source.incarnation.get(),
@@ -163,7 +166,7 @@
     }
 }
 
-fn read_cell(cell: &UsageCell) -> Option<UsageCount> {
+fn cell_from_wire(cell: &UsageCell) -> Option<UsageCount> {
     Some(UsageCount {
         source: CountSource {
             box_id: cell.box_id.parse().ok()?,
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -1,4 +1,4 @@
-//! What a box believes.
+//! The shared state of a box.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,58 +13,58 @@
 use upstream::{ConnectionLimit, TargetPool};
 
 use crate::assignments::AssignmentTable;
-use crate::clock::BeliefClock;
+use crate::clock::NodeClock;
 use crate::feed::{FeedState, FeedTimes};
 use crate::usage::UsageTracker;
 use crate::{NodeMetrics, NodeSettings};
 
-/// The belief of one box, shared by all its tasks.
+/// The state of one box, shared by all its tasks.
 #[derive(Debug)]
 pub struct NodeView {
-    /// Its settings.
+    /// The box's settings.
     pub settings: NodeSettings,
     /// The platform's store.
     pub store: ObjectStore,
     /// Connections to targets.
     pub pool: TargetPool,
-    /// What is counted.
+    /// Metrics of the box.
     pub metrics: NodeMetrics,
-    /// What this box tells others of the store, or hears of it.
+    /// Feed of store updates, sent and received.
     pub feed: FeedState,
-    /// Counts of customers' use, and true time.
+    /// Usage counts per customer, and cluster time.
     pub usage: UsageTracker,
     table: RwLock<Arc<RouteTable>>,
     suspects: Mutex<SuspectTable>,
-    suspect_news: Notify,
-    board: Mutex<TargetTable>,
-    duties: Mutex<AssignmentTable>,
-    named: Mutex<HashMap<ModelName, ModelVersion>>,
-    store_up: watch::Sender<StoreState>,
+    suspects_notify: Notify,
+    target_table: Mutex<TargetTable>,
+    assignments: Mutex<AssignmentTable>,
+    named_versions: Mutex<HashMap<ModelName, ModelVersion>>,
+    store_state: watch::Sender<StoreState>,
     isolated: AtomicBool,
     changed: watch::Sender<u64>,
-    clock: BeliefClock,
+    clock: NodeClock,
 }
 
-/// Whether the store answers, and since when.
+/// Whether the store responds, and since when.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoreState {
-    /// Whether its last call was answered.
+    /// Whether the last call got a response.
     pub up: bool,
-    /// When that changed.
+    /// Time of the last change of `up`.
     pub since: Moment,
 }
 
-/// How long after the store's return an entry that lapsed meanwhile may be on its way back: the
-/// two seconds that the platform names, and the way of the news.
-const ENTRY_RETURN: Duration = Duration::from_millis(2_300);
+/// Time after the store's recovery in which an expired entry may reappear: the platform's two
+/// seconds plus the time for the update to arrive.
+const ENTRY_RETURN_GRACE: Duration = Duration::from_millis(2_300);
 
 impl NodeView {
-    /// A view that believes nothing yet.
+    /// Creates an empty state.
     pub fn new(settings: NodeSettings, store: ObjectStore) -> Self {
-        let board = TargetTable::new(settings.domain.clone());
+        let target_table = TargetTable::new(settings.domain.clone());
         let limit = ConnectionLimit::for_descriptors(settings.max_fds);
         let usage = UsageTracker::new(settings.box_id.clone(), settings.usage_window);
-        let clock = BeliefClock::start(settings.clock.clone());
+        let clock = NodeClock::start(settings.clock.clone());
         let feed = FeedState::new(FeedTimes::for_bound(settings.propagation_bound));
         Self {
             settings,
@@ -75,18 +75,18 @@
             usage,
             table: RwLock::default(),
             suspects: Mutex::default(),
-            suspect_news: Notify::new(),
-            board: Mutex::new(board),
-            duties: Mutex::default(),
-            named: Mutex::default(),
-            store_up: watch::Sender::new(StoreState { up: true, since: Moment::START }),
+            suspects_notify: Notify::new(),
+            target_table: Mutex::new(target_table),
+            assignments: Mutex::default(),
+            named_versions: Mutex::default(),
+            store_state: watch::Sender::new(StoreState { up: true, since: Moment::START }),
             isolated: AtomicBool::new(false),
             changed: watch::Sender::new(0),
             clock,
         }
     }
 
-    /// Now, by the clock of all that is believed.
+    /// Current time of the box's clock, including suspensions.
     pub fn now(&self) -> Moment {
         self.clock.now()
     }
@@ -101,7 +101,8 @@
         self.feed.is_receive_only().then(|| self.table().called_services())
     }
 
-    /// Whether the configuration in force is surely the newest, give or take the time in which changes are heard.
+    /// Whether the configuration in force is guaranteed to be the newest, except for the
+    /// propagation delay.
     pub fn has_fresh_config(&self) -> bool {
         self.feed.is_current(Kind::Configuration, self.now())
     }
@@ -111,7 +112,7 @@
         self.table().version.get() > 0
     }
 
-    /// Puts a configuration in force unless a newer one is. `true` when it is.
+    /// Puts a configuration in force if it is newer. Returns whether it was.
     pub fn offer_table(&self, table: RouteTable) -> bool {
         let mut current = self.table.write().unwrap_or_else(PoisonError::into_inner);
         if table.version <= current.version {
@@ -123,43 +124,43 @@
             Some((service.name.clone(), limit))
         });
         let cold = cold.collect();
-        let wants_more = !table.called_services().is_subset(&current.called_services());
+        let needs_services = !table.called_services().is_subset(&current.called_services());
         *current = Arc::new(table);
         drop(current);
         self.target_table().limit_cold(cold);
-        if wants_more {
+        if needs_services {
             self.feed.request_services();
         }
         self.wake();
         true
     }
 
-    /// The targets; held only for a moment.
+    /// Locks the target table. Hold the guard only briefly.
     pub fn target_table(&self) -> MutexGuard<'_, TargetTable> {
-        self.board.lock().unwrap_or_else(PoisonError::into_inner)
+        self.target_table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Who has which duty; held only for a moment.
+    /// Locks the assignment table. Hold the guard only briefly.
     pub fn assignments(&self) -> MutexGuard<'_, AssignmentTable> {
-        self.duties.lock().unwrap_or_else(PoisonError::into_inner)
+        self.assignments.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Work under which targets have ended; held only for a moment.
+    /// Locks the table of suspected work. Hold the guard only briefly.
     pub fn suspects(&self) -> MutexGuard<'_, SuspectTable> {
         self.suspects.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Wakes whoever tells other boxes of such work.
+    /// Wakes the task that publishes suspected work.
     pub fn suspects_changed(&self) {
-        self.suspect_news.notify_one();
+        self.suspects_notify.notify_one();
     }
 
-    /// Returns once there may be something to tell.
-    pub async fn suspects_news(&self) {
-        self.suspect_news.notified().await;
+    /// Waits until suspected work may have changed.
+    pub async fn wait_suspects_changed(&self) {
+        self.suspects_notify.notified().await;
     }
 
-    /// Into how many shards jobs are divided: by the settings, or as the boxes have agreed.
+    /// Number of shards, from the settings or the layout that the boxes agreed on.
     pub fn shards(&self) -> Option<u32> {
         if self.settings.shards > 0 {
             return Some(self.settings.shards);
@@ -167,41 +168,41 @@
         self.assignments().layout().map(|layout| layout.shards)
     }
 
-    /// Takes the version that is named for a model; versions only rise.
+    /// Sets the named version of a model. Versions only increase.
     pub fn name_version(&self, model: ModelName, version: ModelVersion) {
-        let mut named = self.named.lock().unwrap_or_else(PoisonError::into_inner);
-        let known = named.entry(model).or_insert(version);
-        *known = (*known).max(version);
-        drop(named);
+        let mut versions = self.named_versions.lock().unwrap_or_else(PoisonError::into_inner);
+        let current = versions.entry(model).or_insert(version);
+        *current = (*current).max(version);
+        drop(versions);
         self.wake();
     }
 
-    /// The version that is named for a model.
+    /// The named version of a model.
     pub fn named_version(&self, model: &ModelName) -> Option<ModelVersion> {
-        self.named.lock().unwrap_or_else(PoisonError::into_inner).get(model).copied()
+        self.named_versions.lock().unwrap_or_else(PoisonError::into_inner).get(model).copied()
     }
 
-    /// Services whose targets hold models, with these models.
+    /// Services whose targets are engines, with their models.
     pub fn engine_services(&self) -> Vec<(ServiceName, Vec<ModelName>)> {
         let table = self.table();
         let engines = table.services().filter(|service| !service.models.is_empty());
         engines.map(|service| (service.name.clone(), service.models.clone())).collect()
     }
 
-    /// Wakes whoever waits for a change of belief.
+    /// Notifies subscribers of [`Self::changes`].
     pub fn wake(&self) {
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Tells each change of belief.
+    /// Subscribes to changes of the box's state.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// Notes whether a call about `kind` was answered by the store.
+    /// Records whether the store responded to a call about `kind`.
     pub fn store_answered(&self, kind: Kind, up: bool) {
         let now = self.now();
-        self.store_up.send_if_modified(|state| {
+        self.store_state.send_if_modified(|state| {
             if state.up == up {
                 return false;
             }
@@ -220,7 +221,7 @@
         self.isolated.load(Ordering::Relaxed)
     }
 
-    /// Notes whether this box is cut off.
+    /// Records whether this box is cut off from the deployment.
     pub fn set_isolated(&self, isolated: bool) {
         if self.isolated.swap(isolated, Ordering::Relaxed) == isolated {
             return;
@@ -232,25 +233,25 @@
         }
     }
 
-    /// Whether the store answers.
+    /// Whether the store responds.
     pub fn store_state(&self) -> StoreState {
-        *self.store_up.borrow()
+        *self.store_state.borrow()
     }
 
-    /// Tells when the store is lost or regained.
+    /// Subscribes to losses and recoveries of the store.
     pub fn store_states(&self) -> watch::Receiver<StoreState> {
-        self.store_up.subscribe()
+        self.store_state.subscribe()
     }
 
-    /// Until when an entry that is missing now may still come back.
+    /// How long a missing entry may still reappear; zero if it can't.
     pub fn entry_grace(&self) -> Duration {
         let state = self.store_state();
         if !state.up {
-            return ENTRY_RETURN;
+            return ENTRY_RETURN_GRACE;
         }
         if state.since == Moment::START {
             return Duration::ZERO;
         }
-        ENTRY_RETURN.saturating_sub(self.now().since(state.since))
+        ENTRY_RETURN_GRACE.saturating_sub(self.now().since(state.since))
     }
 }
--- a/crates/node/tests/probe.rs
+++ b/crates/node/tests/probe.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use node::ProbePace;
+use node::ProbeBackoff;
 
 const SILENCE: Duration = Duration::from_secs(7);
 const OLD_NEWS: Duration = Duration::from_millis(1_700);
@@ -14,11 +14,11 @@
 
 /// The moments at which a box asks while the store is silent, and the first one after it.
 fn asked(told: bool, begun: Duration) -> (u32, Duration) {
-    let mut pace = ProbePace::default();
+    let mut backoff = ProbeBackoff::default();
     let (mut at, mut calls) = (begun, 0);
     while at < SILENCE {
         calls += 1;
-        at += CALL + pace.failed(told);
+        at += CALL + backoff.record_failure(told);
     }
     (calls, at)
 }
@@ -52,9 +52,13 @@
 
 #[test]
 fn an_answer_ends_the_pauses() {
-    let mut pace = ProbePace::default();
-    assert_eq!(pace.failed(false), Duration::ZERO, "a watch may be cut while the store is well");
-    assert!(pace.failed(false) > Duration::ZERO);
-    pace.answered();
-    assert_eq!(pace.failed(false), Duration::ZERO);
+    let mut backoff = ProbeBackoff::default();
+    assert_eq!(
+        backoff.record_failure(false),
+        Duration::ZERO,
+        "a watch may be cut while the store is well"
+    );
+    assert!(backoff.record_failure(false) > Duration::ZERO);
+    backoff.record_response();
+    assert_eq!(backoff.record_failure(false), Duration::ZERO);
 }
--- a/crates/xtask/src/ablate.rs
+++ b/crates/xtask/src/ablate.rs
@@ -48,8 +48,8 @@
         without: "boxes that are told ask a silent store as often as the one that tells",
         edit: SourceEdit {
             file: "crates/node/src/probe.rs",
-            from: "            _ if told => TOLD_PAUSE,",
-            to: "            _ if told && before > 99 => TOLD_PAUSE,",
+            from: "            _ if has_source => FEED_PAUSE,",
+            to: "            _ if has_source && failures > 99 => FEED_PAUSE,",
         },
     },
     Ablation {
@@ -66,8 +66,8 @@
         without: "a box that starts lists all kinds for itself",
         edit: SourceEdit {
             file: "crates/node/src/follow.rs",
-            from: "            self.first = FirstLook::WaitsForFeed;",
-            to: "            self.first = FirstLook::Lists;",
+            from: "            self.start_mode = StartMode::AwaitFeed;",
+            to: "            self.start_mode = StartMode::List;",
         },
     },
     Ablation {
--- a/crates/xtask/src/mutate.rs
+++ b/crates/xtask/src/mutate.rs
@@ -468,8 +468,8 @@
     Mutation {
         name: "platform: a box that starts lists what it is about to be told",
         file: "crates/node/src/follow.rs",
-        from: "            self.first = FirstLook::WaitsForFeed;",
-        to: "            self.first = FirstLook::Lists;",
+        from: "            self.start_mode = StartMode::AwaitFeed;",
+        to: "            self.start_mode = StartMode::List;",
         package: "platform-standin",
         test: "told_at_its_start_does_not_ask",
     },
@@ -532,8 +532,8 @@
     Mutation {
         name: "platform: boxes that are told ask a silent store as often as the one that tells",
         file: "crates/node/src/probe.rs",
-        from: "            _ if told => TOLD_PAUSE,",
-        to: "            _ if told && before > 99 => TOLD_PAUSE,",
+        from: "            _ if has_source => FEED_PAUSE,",
+        to: "            _ if has_source && failures > 99 => FEED_PAUSE,",
         package: "node",
         test: "told_leave_a_silent_store_alone",
     },
@@ -555,7 +555,7 @@
     },
     Mutation {
         name: "suspects: a closed connection counts as the end of its target",
-        file: "crates/node/src/ends.rs",
+        file: "crates/node/src/disconnects.rs",
         from: "    if state == PortState::Refuses {",
         to: "    if state != PortState::Unresponsive {",
         package: "platform-standin",
@@ -700,8 +700,8 @@
     Mutation {
         name: "platform: each box lists many targets when history is gone",
         file: "crates/node/src/follow.rs",
-        from: "                    if was_fed\n",
-        to: "                    if !was_fed\n",
+        from: "                    if was_served\n",
+        to: "                    if !was_served\n",
         package: "platform-standin",
         test: "a_box_whose_history_is_gone_hears_of_many_targets",
     },
