--- a/crates/node/tests/probe.rs
+++ b/crates/node/tests/probe.rs
@@ -1,62 +1,62 @@
-//! Calls to a store that is silent, and when its return is known.
+//! Probes of an unresponsive store, and how soon its recovery is detected.
 //!
-//! The pattern: 295 boxes hear of the store from one box in each of six failure domains; the store is silent
-//! for seven seconds. Each call waits 0.72 s for its answer. A box first asks once what it was told of has
-//! been old for too long, 1.7 s after the store fell silent.
+//! Scenario: 295 boxes with one feed source in each of six failure domains; the store is
+//! unresponsive for seven seconds. Each call times out after 0.72 s. A box starts to probe once its
+//! feed is stale, 1.7 s after the outage began.
 
 use std::time::Duration;
 
 use node::ProbeBackoff;
 
-const SILENCE: Duration = Duration::from_secs(7);
-const OLD_NEWS: Duration = Duration::from_millis(1_700);
-const CALL: Duration = Duration::from_millis(720);
+const OUTAGE: Duration = Duration::from_secs(7);
+const STALE_DELAY: Duration = Duration::from_millis(1_700);
+const CALL_TIMEOUT: Duration = Duration::from_millis(720);
 
-/// The moments at which a box asks while the store is silent, and the first one after it.
-fn asked(told: bool, begun: Duration) -> (u32, Duration) {
+/// Returns the number of probes during the outage and the time of the first one after it.
+fn probe_during_outage(has_source: bool, started_at: Duration) -> (u32, Duration) {
     let mut backoff = ProbeBackoff::default();
-    let (mut at, mut calls) = (begun, 0);
-    while at < SILENCE {
+    let (mut at, mut calls) = (started_at, 0);
+    while at < OUTAGE {
         calls += 1;
-        at += CALL + backoff.record_failure(told);
+        at += CALL_TIMEOUT + backoff.record_failure(has_source);
     }
     (calls, at)
 }
 
 #[test]
-fn hundreds_of_boxes_that_are_told_leave_a_silent_store_alone() {
-    let (told, alone) = (asked(true, OLD_NEWS).0, asked(false, OLD_NEWS).0);
-    let (boxes, tellers) = (295, 6);
-    let (before, now) = (boxes * alone, (boxes - tellers) * told + tellers * alone);
+fn boxes_with_feed_source_probe_store_less() {
+    let (with_source, alone) =
+        (probe_during_outage(true, STALE_DELAY).0, probe_during_outage(false, STALE_DELAY).0);
+    let (boxes, sources) = (295, 6);
+    let (before, now) = (boxes * alone, (boxes - sources) * with_source + sources * alone);
     assert!(now * 20 <= before * 11, "{now} calls in place of {before}");
 }
 
-/// Who tells the others must know of the return before trainers have waited for long.
+/// Guards against a feed source that detects the recovery too late for waiting trainers.
 #[test]
-fn whoever_is_told_by_nobody_asks_about_once_a_second() {
+fn feed_source_probes_about_once_per_second() {
     for late in (0..1_000).step_by(50).map(Duration::from_millis) {
-        let (_, known_at) = asked(false, late);
-        assert!(known_at <= SILENCE + Duration::from_millis(1_020), "{known_at:?}");
+        let (_, detected_at) = probe_during_outage(false, late);
+        assert!(detected_at <= OUTAGE + Duration::from_millis(1_020), "{detected_at:?}");
     }
 }
 
-/// A box that the store serves, while the one that tells it is not served, must know what is in force three
-/// seconds after its own way to the store is well.
+/// Guards against a box that relies on a stale feed source although the store serves it.
 #[test]
-fn a_box_that_is_told_still_asks_in_time_for_itself() {
+fn box_with_feed_source_probes_in_time() {
     for late in (0..1_000).step_by(50).map(Duration::from_millis) {
-        let (_, asked_at) = asked(true, late);
-        assert!(asked_at <= SILENCE + Duration::from_millis(2_220), "{asked_at:?}");
+        let (_, probed_at) = probe_during_outage(true, late);
+        assert!(probed_at <= OUTAGE + Duration::from_millis(2_220), "{probed_at:?}");
     }
 }
 
 #[test]
-fn an_answer_ends_the_pauses() {
+fn response_resets_backoff() {
     let mut backoff = ProbeBackoff::default();
     assert_eq!(
         backoff.record_failure(false),
         Duration::ZERO,
-        "a watch may be cut while the store is well"
+        "a watch may be cut while the store is healthy"
     );
     assert!(backoff.record_failure(false) > Duration::ZERO);
     backoff.record_response();
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of what the platform bounds, empty where it does not.
+//! Validation of the bounds that the platform may leave empty.
 
 use std::time::Duration;
 
@@ -13,8 +13,8 @@
     node: RawNodeSettings,
 }
 
-fn check(more: &[&str]) -> Result<NodeSettings, SettingsError> {
-    let usual = [
+fn check(extra: &[&str]) -> Result<NodeSettings, SettingsError> {
+    let required = [
         "gannetwayd",
         "--box-id",
         "entry-1",
@@ -29,21 +29,21 @@
         "--key",
         "a key for these tests",
     ];
-    Cli::parse_from(usual.iter().chain(more)).node.check()
+    Cli::parse_from(required.iter().chain(extra)).node.check()
 }
 
 #[test]
-fn what_a_platform_leaves_empty_is_not_in_force() {
-    let settings =
-        check(&["--evacuate-ms", "", "--cold-excess", "", "--cold-slack", ""]).expect("sound");
+fn empty_platform_settings_use_defaults() {
+    let settings = check(&["--evacuate-ms", "", "--cold-excess", "", "--cold-slack", ""])
+        .expect("valid settings");
     assert!(!settings.evacuations);
     assert_eq!(settings.cold_bound, ColdBound { excess: 1.0, slack: 0.0 });
     assert_eq!(settings.propagation_bound, Duration::from_secs(2));
 }
 
 #[test]
-fn what_a_platform_tells_is_in_force() {
-    let told = [
+fn platform_settings_are_applied() {
+    let given = [
         "--evacuate-ms",
         "5000",
         "--cold-excess",
@@ -55,29 +55,29 @@
         "--drain-ms",
         "3000",
     ];
-    let settings = check(&told).expect("sound");
+    let settings = check(&given).expect("valid settings");
     assert!(settings.evacuations);
     assert_eq!(settings.cold_bound, ColdBound { excess: 1.5, slack: 5.0 });
-    assert_eq!(settings.propagation_bound, Duration::from_secs(3), "the shorter of both");
+    assert_eq!(settings.propagation_bound, Duration::from_secs(3), "the smaller of the two");
 }
 
 #[test]
-fn all_faults_are_told_together_with_their_remedy() {
-    let odd = ["--evacuate-ms", "soon", "--cold-excess=-1", "--cold-slack", "inf"];
-    let SettingsError(faults) = check(&odd).expect_err("three faults");
+fn all_faults_are_reported_with_remedy() {
+    let invalid = ["--evacuate-ms", "soon", "--cold-excess=-1", "--cold-slack", "inf"];
+    let SettingsError(faults) = check(&invalid).expect_err("three faults");
     assert_eq!(faults.len(), 3, "{faults:?}");
     assert!(faults.iter().all(|fault| fault.contains("give")));
 }
 
-/// A change must be heeded within the bound though the proof that it is measured by was heard of late.
+/// Guards against changes that take effect too late because the last proof arrived late.
 #[test]
-fn trust_in_news_ends_within_the_bound() {
+fn freshness_expires_within_propagation_bound() {
     for bound in [2, 3, 5, 11].map(Duration::from_secs) {
         let times = FeedTimes::for_bound(bound);
         assert!(times.max_source_age < times.max_proof_age && times.max_proof_age < bound);
         assert!(
             times.proof.wait + times.proof.slack < times.max_source_age,
-            "time for a second try"
+            "no time for a second try"
         );
     }
 }
--- a/crates/xtask/src/mutate.rs
+++ b/crates/xtask/src/mutate.rs
@@ -535,7 +535,7 @@
         from: "            _ if has_source => FEED_PAUSE,",
         to: "            _ if has_source && failures > 99 => FEED_PAUSE,",
         package: "node",
-        test: "told_leave_a_silent_store_alone",
+        test: "boxes_with_feed_source_probe_store_less",
     },
     Mutation {
         name: "platform: items wait for connections that rest",
@@ -679,7 +679,7 @@
         from: "revision < self.floor || self.may_have_unseen_objects(revision)",
         to: "revision < self.floor",
         package: "node",
-        test: "whoever_may_know_what_a_listing_missed",
+        test: "revision_inside_gap_gets_full_update",
     },
     Mutation {
         name: "platform: a service that is called later is not listed anew",
