--- a/crates/node/src/choice.rs
+++ b/crates/node/src/choice.rs
@@ -53,13 +53,13 @@
         targets.choose(now, service, &target_requirements, &mut rng)
     };
     // Prefers targets without other suspected work, then untried ones, then tried ones.
-    let apart = [&excluded, anti_affinity.targets.as_slice()].concat();
-    let mut slot = choose(&[requirements.tried, &apart].concat());
+    let excluded_or_suspect = [&excluded, anti_affinity.targets.as_slice()].concat();
+    let mut slot = choose(&[requirements.tried, &excluded_or_suspect].concat());
     if !anti_affinity.required {
         slot = slot.or_else(|| choose(&[requirements.tried, &excluded].concat()));
     }
     if requirements.allow_tried {
-        let avoid = if anti_affinity.required { &apart } else { &excluded };
+        let avoid = if anti_affinity.required { &excluded_or_suspect } else { &excluded };
         slot = slot.or_else(|| choose(avoid));
     }
     drop(targets);
--- a/crates/node/src/feed/mod.rs
+++ b/crates/node/src/feed/mod.rs
@@ -54,12 +54,12 @@
 ];
 
 fn kind_of(number: u32) -> Option<Kind> {
-    KINDS.iter().find(|(known, _)| *known == number).map(|(_, kind)| *kind)
+    KINDS.iter().find(|(wire_number, _)| *wire_number == number).map(|(_, kind)| *kind)
 }
 
 /// Returns the wire number of a kind, or `None` if the feed does not carry it.
 pub fn number_of(kind: Kind) -> Option<u32> {
-    KINDS.iter().find(|(_, known)| *known == kind).map(|(number, _)| *number)
+    KINDS.iter().find(|(_, entry_kind)| *entry_kind == kind).map(|(number, _)| *number)
 }
 
 /// The updates a box caches for others, and the state of its own feed.
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -161,7 +161,7 @@
         // The domain's feed source is served by no other box and must not wait for one.
         let mut was_served = false;
         let mut service_requests = self.view.feed.service_requests();
-        let relists = self.kind == Kind::Targets && self.view.feed.is_receive_only();
+        let relists_targets = self.kind == Kind::Targets && self.view.feed.is_receive_only();
         match self.start_mode {
             StartMode::List => {}
             StartMode::ListStale => revision = self.list_stale().await,
@@ -170,7 +170,7 @@
         loop {
             let is_paused = has_feed && *served.borrow_and_update();
             was_served |= is_paused;
-            if relists && !is_paused && self.lacks_targets() {
+            if relists_targets && !is_paused && self.lacks_targets() {
                 // Changes do not include targets that the feed has filtered out.
                 revision = None;
             }
@@ -185,7 +185,7 @@
                     watch_time = PROBE_WATCH;
                     continue;
                 }
-                _ = service_requests.changed(), if relists && !is_paused => continue,
+                _ = service_requests.changed(), if relists_targets && !is_paused => continue,
                 // The connection of a pending watch may be unresponsive too, which would go
                 // unnoticed until its timeout.
                 () = wait_for_loss(&self.view, self.kind), if !is_paused => {
@@ -200,13 +200,13 @@
                     self.view.feed.record_proof(self.kind, self.view.now());
                     backoff.record_response();
                     watch_time = self.default_watch_time();
-                    let lists = matches!(update, FeedUpdate::Listed(_));
-                    let next = self.apply(update);
-                    if lists && relists {
+                    let is_listing = matches!(update, FeedUpdate::Listed(_));
+                    let next_revision = self.apply(update);
+                    if is_listing && relists_targets {
                         self.view.feed.set_received_services(None);
                     }
-                    let is_new = revision.is_none_or(|last| last != next);
-                    revision = Some(next);
+                    let is_new = revision.is_none_or(|last| last != next_revision);
+                    revision = Some(next_revision);
                     if is_new && self.sink.allows_batching() {
                         time::sleep(self.batch_delay).await;
                     }
--- a/crates/node/src/suspects.rs
+++ b/crates/node/src/suspects.rs
@@ -184,7 +184,7 @@
                     view.suspects().write_confirmed(view.now(), work, revision, record);
                     Ok(())
                 }
-                Err(StoreError::NotApplied(why)) => Err(StoreError::NotApplied(why)),
+                Err(StoreError::NotApplied(reason)) => Err(StoreError::NotApplied(reason)),
                 // Another box wrote first, or the outcome is unknown: the stored record decides.
                 Err(_) => read_back(view, work).await,
             }
@@ -196,7 +196,7 @@
                     view.suspects().apply_removal(work);
                     Ok(())
                 }
-                Err(StoreError::NotApplied(why)) => Err(StoreError::NotApplied(why)),
+                Err(StoreError::NotApplied(reason)) => Err(StoreError::NotApplied(reason)),
                 Err(_) => read_back(view, work).await,
             }
         }
--- a/crates/node/src/usage.rs
+++ b/crates/node/src/usage.rs
@@ -67,7 +67,7 @@
         self.length
     }
 
-    /// Cluster time at a moment, past or present; the wall clock until a cluster time is known.
+    /// Cluster time at a moment, past or present; the wall clock until one is available.
     pub fn time_at(&self, at: Moment) -> UnixTime {
         lock(&self.clock).now(at).unwrap_or_else(wall_time)
     }
