--- a/crates/xtask/src/ablate.rs
+++ b/crates/xtask/src/ablate.rs
@@ -48,8 +48,8 @@
         without: "boxes that are told ask a silent store as often as the one that tells",
         edit: SourceEdit {
             file: "crates/node/src/probe.rs",
-            from: "            _ if told => TOLD_PAUSE,",
-            to: "            _ if told && before > 99 => TOLD_PAUSE,",
+            from: "            _ if has_source => FEED_PAUSE,",
+            to: "            _ if has_source && failures > 99 => FEED_PAUSE,",
         },
     },
     Ablation {
@@ -66,8 +66,8 @@
         without: "a box that starts lists all kinds for itself",
         edit: SourceEdit {
             file: "crates/node/src/follow.rs",
-            from: "            self.first = FirstLook::WaitsForFeed;",
-            to: "            self.first = FirstLook::Lists;",
+            from: "            self.start_mode = StartMode::AwaitFeed;",
+            to: "            self.start_mode = StartMode::List;",
         },
     },
     Ablation {
@@ -183,8 +183,8 @@
         without: "every box asks the store itself",
         edit: SourceEdit {
             file: "crates/node/src/feed/client.rs",
-            from: "self.silent.get(&copy.box_id).is_none_or(|at| at.elapsed() >= SILENT_PAUSE)",
-            to: "copy.address.is_empty() && !self.silent.contains_key(&copy.box_id)",
+            from: "self.failed_at.get(&candidate.box_id).is_none_or(|at| at.elapsed() >= SOURCE_BACKOFF)",
+            to: "candidate.address.is_empty() && !self.failed_at.contains_key(&candidate.box_id)",
         },
     },
     Ablation {
