--- a/crates/gannetctl/tests/usage.rs
+++ b/crates/gannetctl/tests/usage.rs
@@ -9,7 +9,7 @@
 {"box":"keep-1","event":"report of use","part":"usage","t":107.0,"level":"info","window":20,"customers":2,"requests":9,"all_heard":true,"outcome":"fixed"}
 {"box":"keep-1","event":"report of use sent","part":"usage","t":107.1,"level":"info","window":20,"token":4,"outcome":"taken"}
 {"box":"keep-1","event":"report of use","part":"usage","t":115.0,"level":"info","window":21,"customers":1,"requests":3,"all_heard":false,"outcome":"fixed"}
-{"box":"keep-1","event":"report of use sent","part":"usage","t":116.0,"level":"info","window":21,"token":4,"outcome":"the platform's accounts do not answer: send the same again, or let another box do it"}
+{"box":"keep-1","event":"report of use sent","part":"usage","t":116.0,"level":"info","window":21,"token":4,"outcome":"the accounting service did not respond: resend the same call, from any box"}
 "#,
     r#"
 {"box":"keep-2","event":"report of use sent","part":"usage","t":121.0,"level":"info","window":21,"token":5,"outcome":"taken"}
--- a/crates/shards/src/run.rs
+++ b/crates/shards/src/run.rs
@@ -190,7 +190,7 @@
                 return RunReason::SlowEngine;
             }
         }
-        if reader.has_rest() {
+        if reader.has_partial_event() {
             return RunReason::EndedWithinEvent;
         }
         answer.reuse();
--- a/crates/xtask/src/mutate.rs
+++ b/crates/xtask/src/mutate.rs
@@ -231,7 +231,7 @@
         from: "    headers.remove(CUSTOMER);",
         to: "",
         package: "platform",
-        test: "the_customer_is_named_in_place",
+        test: "forged_customer_and_key_are_not_forwarded",
     },
     Mutation {
         name: "customers: a key travels on to targets",
@@ -239,7 +239,7 @@
         from: "    headers.remove(AUTHORIZATION);",
         to: "",
         package: "platform",
-        test: "the_customer_is_named_in_place",
+        test: "forged_customer_and_key_are_not_forwarded",
     },
     Mutation {
         name: "customers: a box whose settings may be old calls keys unknown",
@@ -436,10 +436,10 @@
     Mutation {
         name: "platform: a connection to the store that rested is used again",
         file: "platform/src/store.rs",
-        from: "const IDLE_TIME: Duration = Duration::from_millis(600);",
-        to: "const IDLE_TIME: Duration = Duration::from_secs(60);",
+        from: "const IDLE_TIMEOUT: Duration = Duration::from_millis(600);",
+        to: "const IDLE_TIMEOUT: Duration = Duration::from_secs(60);",
         package: "platform",
-        test: "a_connection_that_rested",
+        test: "idle_connection_is_not_reused",
     },
     Mutation {
         name: "platform: a reward call is cut off where most have ended",
