--- a/crates/xtask/src/mutate.rs
+++ b/crates/xtask/src/mutate.rs
@@ -191,7 +191,7 @@
         from: "let again = !refused && !ctx.view.store_state().up;",
         to: "let again = false && !refused;",
         package: "platform-standin",
-        test: "a_copy_that_is_slow",
+        test: "slow_copy_is_awaited_during_store_outage",
     },
     Mutation {
         name: "platform: an entry box hears of the store from itself alone",
@@ -199,7 +199,7 @@
         from: "tokio::spawn(follow_feed(v(), links.clone(), fed, end.clone()));",
         to: "drop((fed, links.clone(), follow_feed));",
         package: "platform-standin",
-        test: "an_entry_box_without_the_store",
+        test: "entry_box_without_store_learns_of_new_servers",
     },
     Mutation {
         name: "platform: positions are given between two epochs",
@@ -247,7 +247,7 @@
         from: "    let sure = view.has_fresh_config();",
         to: "    let sure = view.is_configured();",
         package: "platform-standin",
-        test: "a_box_that_cannot_be_sure",
+        test: "stale_config_does_not_reject_unknown_keys",
     },
     Mutation {
         name: "customers: an item's engine is not told whose it is",
@@ -255,7 +255,7 @@
         from: "        self.name_customer(&mut sent);",
         to: "",
         package: "platform-standin",
-        test: "a_job_is_its_customers",
+        test: "job_is_hidden_from_other_customers",
     },
     Mutation {
         name: "customers: any customer may ask for any job",
@@ -359,7 +359,7 @@
         from: "                self.tell_counts_elsewhere().await;",
         to: "",
         package: "platform-standin",
-        test: "use_is_reported_once",
+        test: "usage_is_reported_once_per_window_across_holders",
     },
     Mutation {
         name: "platform: nobody stands in for a holder whom the store refuses",
@@ -367,7 +367,7 @@
         from: "|| stands_in(ctx, held);",
         to: "; let _ = stands_in;",
         package: "platform-standin",
-        test: "a_holder_whom",
+        test: "lease_holder_without_store_is_replaced",
     },
     Mutation {
         name: "platform: a box that is cut off stays ready",
@@ -375,7 +375,7 @@
         from: "let able = self.view.is_configured() && !self.view.is_isolated();",
         to: "let able = self.view.is_configured();",
         package: "platform-standin",
-        test: "a_box_that_is_cut_off",
+        test: "isolated_entry_box_reports_not_ready",
     },
     Mutation {
         name: "platform: a silent link counts as one that rests",
@@ -415,7 +415,7 @@
         from: "page.results[index] = result;",
         to: "drop(result);",
         package: "platform-standin",
-        test: "jobs_that_ended_long_ago",
+        test: "old_ended_jobs_are_read_from_disk",
     },
     Mutation {
         name: "platform: an answer about any kind proves the settings",
@@ -423,7 +423,7 @@
         from: "self.view.feed.record_proof(self.kind, self.view.now());",
         to: "self.view.feed.record_proof(Kind::Configuration, self.view.now());",
         package: "platform-standin",
-        test: "an_answer_about_another_kind",
+        test: "response_for_other_kind_does_not_prove_configuration",
     },
     Mutation {
         name: "platform: trust in what is told does not end by the clock",
@@ -431,7 +431,7 @@
         from: "let stale_at = proof.proven_at + self.hear;",
         to: "let stale_at = proof.proven_at + self.hear * 100;",
         package: "platform-standin",
-        test: "trust_lasts_as_long",
+        test: "freshness_lasts_while_proofs_arrive",
     },
     Mutation {
         name: "platform: a connection to the store that rested is used again",
@@ -471,7 +471,7 @@
         from: "            self.first = FirstLook::WaitsForFeed;",
         to: "            self.first = FirstLook::Lists;",
         package: "platform-standin",
-        test: "told_at_its_start_does_not_ask",
+        test: "box_served_by_feed_at_start_does_not_call_store",
     },
     Mutation {
         name: "platform: few boxes with disks have many shards",
@@ -551,7 +551,7 @@
         from: "ShardFault::NotServed => 2,",
         to: "ShardFault::NotServed => 0,",
         package: "platform-standin",
-        test: "found_in_whichever_shard",
+        test: "job_is_found_in_any_shard",
     },
     Mutation {
         name: "suspects: a closed connection counts as the end of its target",
@@ -559,7 +559,7 @@
         from: "    if state == PortState::Refuses {",
         to: "    if state != PortState::Unresponsive {",
         package: "platform-standin",
-        test: "targets_close_condemn_nobody",
+        test: "broken_connections_quarantine_nothing",
     },
     Mutation {
         name: "suspects: the end of a target that leaves counts",
@@ -567,7 +567,7 @@
         from: "                    self.view.suspects().clear_incarnation(&record.incarnation());\n",
         to: "",
         package: "platform-standin",
-        test: "targets_that_leave_condemn_nobody",
+        test: "draining_targets_quarantine_nothing",
     },
     Mutation {
         name: "suspects: what other work explains condemns all the same",
@@ -591,7 +591,7 @@
         from: "required: suspect.is_some_and(|known| known.count() >= ALONE_ENDS) }",
         to: "required: suspect.is_some_and(|known| known.count() >= 99 * ALONE_ENDS) }",
         package: "platform-standin",
-        test: "told_from_those_beside_them",
+        test: "concurrent_poison_requests_are_told_apart_from_other_work",
     },
     Mutation {
         name: "suspects: an answer frees nobody",
@@ -599,7 +599,7 @@
         from: "        TryOutcome::Answered => view.suspects().succeeded(work),\n",
         to: "",
         package: "platform-standin",
-        test: "reasons_of_their_own",
+        test: "independent_crashes_quarantine_nothing",
     },
     Mutation {
         name: "suspects: other boxes are not told",
@@ -607,7 +607,7 @@
         from: "        (worth && news) || self.trial",
         to: "        (worth && news && count > 99) || self.trial",
         package: "platform-standin",
-        test: "turned_away_at_every_box",
+        test: "poison_request_is_refused_at_every_box",
     },
     Mutation {
         name: "suspects: a condemned item holds up its job",
@@ -647,7 +647,7 @@
         from: "    if kind == Kind::Configuration {",
         to: "    if kind == Kind::Configuration || kind == Kind::ClusterState {",
         package: "platform-standin",
-        test: "connection_fell_silent",
+        test: "quarantine_does_not_wait_for_unresponsive_watch",
     },
     Mutation {
         name: "platform: a cold target's rate is each box's own",
@@ -687,7 +687,7 @@
         from: "(Some(known), Some(wanted)) => !wanted.is_subset(known),",
         to: "(Some(_), Some(_)) => false,",
         package: "platform-standin",
-        test: "a_service_that_callers_reach_only_later",
+        test: "service_that_is_routed_later_is_served",
     },
     Mutation {
         name: "platform: questions that brought nothing are asked again at once",
@@ -695,7 +695,7 @@
         from: "time::sleep_until(asked_at + LEAST_PAUSE).await;",
         to: "let _none = LEAST_PAUSE;",
         package: "platform-standin",
-        test: "not_asked_without_a_pause",
+        test: "source_with_old_proof_is_not_polled_in_tight_loop",
     },
     Mutation {
         name: "platform: each box lists many targets when history is gone",
@@ -703,7 +703,7 @@
         from: "                    if was_fed\n",
         to: "                    if !was_fed\n",
         package: "platform-standin",
-        test: "a_box_whose_history_is_gone_hears_of_many_targets",
+        test: "box_without_history_gets_targets_from_feed",
     },
     Mutation {
         name: "platform: all boxes with disks are at work",
@@ -735,7 +735,7 @@
         from: "        self.view.target_table().ended(&self.slot.instance);\n",
         to: "",
         package: "platform-standin",
-        test: "a_caller_that_leaves_gives",
+        test: "dropped_call_is_not_counted_in_flight",
     },
     Mutation {
         name: "platform: what is believed is counted without suspensions",
@@ -743,7 +743,7 @@
         from: "                started.elapsed() + suspended\n",
         to: "                started.elapsed() + suspended * 0\n",
         package: "platform-standin",
-        test: "wakes_from_a_suspension",
+        test: "resumed_box_does_not_report_old_state_as_fresh",
     },
 ];
 
