--- a/crates/jobs/src/item.rs
+++ b/crates/jobs/src/item.rs
@@ -1,4 +1,4 @@
-//! One item of a job on its way to a result.
+//! State of one item of a job, and the runs and reward calls that produce its result.
 
 use std::fmt;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 
 use crate::pack_text;
 
-/// Names an item by its job and index.
+/// Identifies an item by its job and index.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ItemRef {
     /// The job.
@@ -18,37 +18,38 @@
     pub index: u32,
 }
 
-/// What a run of an item needs.
+/// Inputs of one run of an item.
 #[derive(Debug, Clone)]
 pub struct RunSpec {
-    /// The item.
+    /// The item to run.
     pub item: ItemRef,
-    /// The job it belongs to.
+    /// The job that contains the item.
     pub job: Arc<Job>,
-    /// Events of its text that are held already; the run goes on after them.
+    /// Number of events already in the text; the run continues after them.
     pub events: u32,
-    /// The newest version that made a part of the held text.
+    /// Newest weight version in the text so far.
     pub newest: Option<u64>,
-    /// Whether the text is whole, and only the reward call is missing.
+    /// Whether the text is complete and only the reward call is missing.
     pub complete: bool,
-    /// Number of this run of the item; the end of an earlier one says nothing.
+    /// Number of this run of the item; results of earlier runs are ignored.
     pub run: u32,
 }
 
 impl RunSpec {
-    /// The record for the events that a run which was cut or moved has not given to the log: the
-    /// next run begins after them, and its own records must follow what is there.
-    pub fn unlogged_progress(&self, end: &RunResult) -> Option<LogRecord> {
-        let goes_on = matches!(end.outcome, RunOutcome::Cut | RunOutcome::Moved);
-        let more = end.events.len() > end.logged && !self.job.single_version;
-        (goes_on && more).then(|| self.progress(&end.events, end.logged))
+    /// Returns the record for the events that a cut or moved run has not logged. The next run
+    /// starts after them, and its records must continue the logged text without a gap.
+    pub fn unlogged_progress(&self, result: &RunResult) -> Option<LogRecord> {
+        let continues = matches!(result.outcome, RunOutcome::Cut | RunOutcome::Moved);
+        let has_unlogged = result.events.len() > result.logged && !self.job.single_version;
+        (continues && has_unlogged).then(|| self.progress(&result.events, result.logged))
     }
 
-    /// The record that keeps events of a run which goes on; `sent` of them were kept before.
+    /// Returns the record that logs the events of a run after the first `sent` ones, which are
+    /// logged already.
     pub fn progress(&self, events: &[RunEvent], sent: usize) -> LogRecord {
         let count = |events: usize| u32::try_from(events).unwrap_or(u32::MAX);
         let mut state = ItemState::new();
-        state.add(&events[sent..]);
+        state.add_events(&events[sent..]);
         let progress = ItemProgress {
             job: self.item.job.to_string(),
             index: self.item.index,
@@ -61,7 +62,7 @@
         LogRecord { body: Some(Body::Progress(progress)) }
     }
 
-    /// The item's own request.
+    /// Returns the item's request.
     pub fn request(&self) -> Option<&JobItem> {
         self.job.items.get(self.item.index as usize)
     }
@@ -70,66 +71,66 @@
 /// How a run of an item ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// The last event came, and the answer ended as it should.
+    /// The response ended correctly after its last event.
     Complete,
-    /// The answer broke off or fell silent; another target goes on after the last whole event.
+    /// The response broke off or timed out; another target continues after the last complete event.
     Cut,
-    /// It was broken off here, to go on at a better target at once.
+    /// This box cancelled the run to continue it on a better target at once.
     Moved,
-    /// The target took no work.
+    /// The target did not accept the work.
     NotRun,
-    /// The target answered with an error of its own.
+    /// The target responded with an error.
     Failed,
-    /// The target said that the item can never be done.
+    /// The item can never succeed; it is not retried.
     Impossible,
-    /// The answer does not continue the held text: it is of no use.
+    /// The response does not continue the existing text; the text is discarded.
     Unusable,
 }
 
-/// What a run brought.
+/// Result of a run.
 #[derive(Debug, Clone)]
 pub struct RunResult {
     /// How it ended.
     pub outcome: RunOutcome,
-    /// The whole events that came, in order.
+    /// Complete events received, in order.
     pub events: Vec<RunEvent>,
-    /// How many of them were given to the log while the run went on.
+    /// Number of these events that were logged during the run.
     pub logged: usize,
 }
 
-/// One whole event of a run.
+/// One complete event of a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunEvent {
-    /// Its data.
+    /// Data of the event.
     pub data: Vec<u8>,
-    /// Version of the weights that made it.
+    /// Weight version that generated it.
     pub version: u64,
 }
 
 /// How a reward call ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RewardOutcome {
-    /// The signature of its success.
+    /// The call succeeded with this score.
     Scored(String),
-    /// An error of the target itself; the item may be given up after `attempts` of them.
+    /// The target responded with an error; the item is given up after `attempts` such errors.
     Failed {
-        /// From the reward call's own route.
+        /// Attempts allowed by the reward call's route.
         attempts: u32,
     },
-    /// It got no answer, or no target took it.
+    /// No response arrived, or no target accepted the call.
     Missed,
-    /// It ends the targets that run it, and was not made.
+    /// The call is quarantined because it crashes its targets; it was not made.
     Quarantined,
 }
 
 /// Why an item is given up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LossReason {
-    /// Its targets failed at it as often as its route allows, or said that it can never be done.
+    /// Its runs failed as often as its route allows, or it can never succeed.
     Failures,
-    /// So did the targets of its reward call.
+    /// Its reward calls failed as often as their route allows.
     RewardFailures,
-    /// It has waited for as long as its route allows.
+    /// It waited longer than its route allows.
     TooLate,
 }
 
@@ -143,24 +144,25 @@
     }
 }
 
+/// Phase of an item.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ItemPhase {
-    /// To be started.
+    /// Queued to start.
     Waiting,
-    /// A run or a reward call is under way.
+    /// A run or a reward call is in progress.
     Running,
-    /// Its record is on the way to the log, or applied.
+    /// Its record is being appended to the log, or applied.
     Listed,
 }
 
-/// State of an item that is lost with the box.
+/// Volatile state of an item, lost with the box.
 #[derive(Debug, Clone)]
 pub(crate) struct ItemState {
     pub phase: ItemPhase,
     /// Number of the last run.
     pub run: u32,
     pub not_before: Moment,
-    /// When the last run was started.
+    /// Start of the last run.
     pub started_at: Moment,
     pub failures: u32,
     pub reward_failures: u32,
@@ -191,13 +193,13 @@
         }
     }
 
-    pub(crate) fn add(&mut self, events: &[RunEvent]) {
+    pub(crate) fn add_events(&mut self, events: &[RunEvent]) {
         for event in events {
             self.add_text(&event.data, 1, &[event.version]);
         }
     }
 
-    /// Adds `events` events whose data is joined already.
+    /// Appends the joined data of `events` events.
     pub(crate) fn add_text(&mut self, text: &[u8], events: u32, versions: &[u64]) {
         if events == 0 {
             return;
@@ -214,7 +216,7 @@
         }
     }
 
-    pub(crate) fn forget_text(&mut self) {
+    pub(crate) fn clear_text(&mut self) {
         self.text = Vec::new();
         self.events = 0;
         self.versions = Vec::new();
@@ -222,8 +224,8 @@
         self.score = None;
     }
 
-    /// Whether text of these versions may stand in a sample of the job.
-    pub(crate) fn fits(versions: &[u64], job: &Job) -> bool {
+    /// Whether the job allows a sample made by these versions.
+    pub(crate) fn versions_fit(versions: &[u64], job: &Job) -> bool {
         let fresh = versions.iter().all(|version| *version >= job.min_version);
         fresh && (!job.single_version || versions.iter().all(|version| *version == versions[0]))
     }
--- a/crates/jobs/src/reads.rs
+++ b/crates/jobs/src/reads.rs
@@ -1,4 +1,4 @@
-//! What a book tells, without changing.
+//! Read-only queries of a [`JobTable`].
 
 use std::collections::HashMap;
 
@@ -8,41 +8,41 @@
 use crate::item::ItemPhase;
 use crate::{ItemRef, JobTable};
 
-/// How much a shard holds.
+/// Size of a shard's job table.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct JobCounts {
-    /// Jobs held.
+    /// Number of jobs, ended ones included.
     pub jobs: usize,
-    /// Items to be started.
+    /// Number of items queued to start.
     pub waiting: usize,
-    /// Bytes of jobs and results.
+    /// Size of jobs and results in memory, in bytes.
     pub bytes: usize,
 }
 
-/// Which step a job is.
+/// The training step that a job belongs to.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct StepNames {
-    /// The model that it trains.
+    /// Name of the trained model.
     pub model: String,
-    /// The step's number.
+    /// Step number.
     pub number: u64,
-    /// The oldest version of the weights that may make any part of a sample.
+    /// Oldest weight version allowed in a sample.
     pub min_version: u64,
-    /// Whole groups that the trainer waits for.
+    /// Number of complete groups that the trainer waits for.
     pub wanted_groups: u32,
 }
 
-/// Results of a job.
+/// One page of a job's results.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ResultsPage {
-    /// The page; some results lack their text.
+    /// The results; those in `on_disk` lack their text.
     pub page: JobPage,
-    /// Indices of these among the page's results, and where their records lie.
+    /// Results without text: index within the page and location of the record.
     pub on_disk: Vec<(usize, RecordLocation)>,
 }
 
 impl JobTable {
-    /// Which step a job is; all empty when it is not held.
+    /// Returns the step of a job, or the default if the job is unknown.
     pub fn step(&self, id: &JobId) -> StepNames {
         let Some(state) = self.jobs.get(id) else { return StepNames::default() };
         StepNames {
@@ -53,35 +53,34 @@
         }
     }
 
-    /// Whether a job is held.
+    /// Whether the table contains a job.
     pub fn contains(&self, id: &JobId) -> bool {
         self.jobs.contains_key(id)
     }
 
-    /// Whether a job is held under this id that is another customer's. A job of the time before there were
-    /// customers is everybody's, and so are all of them while the configuration knows none: `customer` is empty
-    /// then.
+    /// Whether the job with this id belongs to another customer. A job without a customer belongs
+    /// to all, and if `customer` is empty (none configured) no job belongs to another.
     pub fn belongs_to_other_customer(&self, id: &JobId, customer: &str) -> bool {
         let owner = self.jobs.get(id).map_or("", |state| state.job.customer.as_str());
         !owner.is_empty() && !customer.is_empty() && owner != customer
     }
 
-    /// Whether a job is held of which `customer` may know.
+    /// Whether the job exists and `customer` may access it.
     pub fn may_ask(&self, id: &JobId, customer: &str) -> bool {
         self.contains(id) && !self.belongs_to_other_customer(id, customer)
     }
 
-    /// Bytes of jobs and results.
+    /// Returns the size of jobs and results in memory, in bytes.
     pub const fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Whether a job has ended, or its end is on the way; `None` when it is not held.
+    /// Whether a job has ended or is ending; `None` if it is unknown.
     pub fn is_ended(&self, id: &JobId) -> Option<bool> {
         self.jobs.get(id).map(|state| state.ended || state.ending)
     }
 
-    /// How much is held.
+    /// Returns the size of the table.
     pub fn counts(&self) -> JobCounts {
         let open = self.open.iter().filter_map(|id| self.jobs.get(id));
         JobCounts {
@@ -91,7 +90,7 @@
         }
     }
 
-    /// Items of jobs that run which are not listed yet, by the name of their model.
+    /// Counts the items of open jobs that are not listed yet, by model name.
     pub fn open_items(&self) -> HashMap<&str, usize> {
         let mut counts = HashMap::new();
         for state in self.open.iter().filter_map(|id| self.jobs.get(id)) {
@@ -101,8 +100,8 @@
         counts
     }
 
-    /// Results from position `from`: at least one if there is one, `max_bytes` of text at most.
-    /// `None` when the job is not held.
+    /// Returns results from position `from`: at most `max_bytes` of text, but at least one result
+    /// if there is any. `None` if the job is unknown.
     pub fn page(&self, id: &JobId, from: u32, max_bytes: usize) -> Option<ResultsPage> {
         let state = self.jobs.get(id)?;
         let total = u32::try_from(state.job.items.len()).unwrap_or(u32::MAX);
@@ -114,21 +113,21 @@
             if !results.is_empty() && bytes > max_bytes {
                 break;
             }
-            on_disk.extend(listed.on_disk().map(|place| (results.len(), place)));
+            on_disk.extend(listed.on_disk().map(|location| (results.len(), location)));
             results.push(listed.result.clone());
         }
         Some(ResultsPage { page: JobPage { total, results }, on_disk })
     }
 
-    /// The body of an item, until its job has ended.
+    /// Returns the request body of an item, or `None` after its job has ended.
     pub fn body(&self, id: &JobId, item: &str) -> Option<Vec<u8>> {
         let state = self.jobs.get(id).filter(|state| !state.ended)?;
         let request = state.job.items.iter().find(|other| other.id == item)?;
         Some(request.body.clone())
     }
 
-    /// Whether an item's run should be broken off: its job has ended or is not held any more.
-    pub fn is_moot(&self, item: &ItemRef) -> bool {
+    /// Whether an item's run should be cancelled: its job is ending or unknown.
+    pub fn is_obsolete(&self, item: &ItemRef) -> bool {
         self.jobs.get(&item.job).is_none_or(|state| state.ending)
     }
 }
--- a/crates/jobs/src/reward_plan.rs
+++ b/crates/jobs/src/reward_plan.rs
@@ -1,46 +1,45 @@
-//! When a reward call is made again at another target, and how long it may take.
+//! Schedule of hedged reward calls.
 //!
-//! The pattern: most calls end within the route's goal, a few take several times as long wherever and
-//! however often they are made, and now and then a target is silent. A limit that cuts the long ones off
-//! never ends them, and all others of the step wait. Without a second call, a silent target
-//! costs the whole limit. So a call goes on while the same call is made elsewhere, and the first good
-//! answer counts.
+//! Most calls complete within the route's goal, a few take several times as long on any target, and
+//! sometimes a target doesn't respond. Cancelling slow calls would never complete the long ones,
+//! and waiting for an unresponsive target would cost the full limit. So the first call continues
+//! while hedges run on other targets, and the first successful response is used.
 
 use std::time::Duration;
 
-/// Longest time of a reward call whose route names none: twice that of the longest calls seen.
-const MOST_TIME: Duration = Duration::from_secs(3);
-/// Shortest time before the call is made elsewhere as well: a busy target's queue lasts about as long.
-const LEAST_PATIENCE: Duration = Duration::from_millis(300);
-/// Longest such time: a trainer waits for the sample.
-const MOST_PATIENCE: Duration = Duration::from_millis(900);
-/// Targets that work on one call at a time, at most.
-const MOST_AT_ONCE: u32 = 3;
+/// Time limit of a reward call if its route sets none.
+const DEFAULT_LIMIT: Duration = Duration::from_secs(3);
+/// Minimum delay of the first hedge; covers the queueing time of a busy target.
+const MIN_HEDGE_DELAY: Duration = Duration::from_millis(300);
+/// Maximum delay of the first hedge.
+const MAX_HEDGE_DELAY: Duration = Duration::from_millis(900);
+/// Maximum number of concurrent calls, the first one included.
+const MAX_CALLS: u32 = 3;
 
-/// When one reward call is made, and until when.
+/// Start times and time limit of the calls for one reward.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RewardHedgePlan {
-    patience: Duration,
+    first_delay: Duration,
     limit: Duration,
 }
 
 impl RewardHedgePlan {
-    /// The plan for a route with this goal and this longest time.
+    /// Creates the plan for a route with this latency goal and timeout.
     pub fn new(goal: Option<Duration>, timeout: Option<Duration>) -> Self {
-        let patience = goal.unwrap_or(MOST_PATIENCE).clamp(LEAST_PATIENCE, MOST_PATIENCE);
-        Self { patience, limit: timeout.unwrap_or(MOST_TIME) }
+        let first_delay = goal.unwrap_or(MAX_HEDGE_DELAY).clamp(MIN_HEDGE_DELAY, MAX_HEDGE_DELAY);
+        Self { first_delay, limit: timeout.unwrap_or(DEFAULT_LIMIT) }
     }
 
-    /// How long after the first call all of them end.
+    /// Returns the time limit of all calls, counted from the start of the first.
     pub const fn limit(&self) -> Duration {
         self.limit
     }
 
-    /// How long after the first call the one after `made` others is made; `None` when there is none.
-    /// Each waits twice as long as the one before it.
-    pub fn next_call(&self, made: u32) -> Option<Duration> {
-        let waits = (1_u32 << made.min(MOST_AT_ONCE)) - 1;
-        let at = self.patience * waits;
-        (made < MOST_AT_ONCE && at < self.limit).then_some(at)
+    /// Returns when to start the next call after `calls_made` calls, counted from the start of the
+    /// first; `None` if no further call is allowed. The delay doubles with each call.
+    pub fn next_call(&self, calls_made: u32) -> Option<Duration> {
+        let delay_count = (1_u32 << calls_made.min(MAX_CALLS)) - 1;
+        let at = self.first_delay * delay_count;
+        (calls_made < MAX_CALLS && at < self.limit).then_some(at)
     }
 }
--- a/crates/jobs/src/snapshot.rs
+++ b/crates/jobs/src/snapshot.rs
@@ -1,4 +1,5 @@
-//! A book as records, in pieces: it may be much larger than what a box can hold twice.
+//! Snapshots of a [`JobTable`] as log records. A snapshot is produced in pieces, since a box may
+//! not have memory for a second copy of the table.
 
 use ids::{JobId, RecordLocation};
 use prost::Message;
@@ -7,7 +8,7 @@
 use crate::JobTable;
 use crate::state::ListedItem;
 
-/// How far a snapshot has come.
+/// Progress of a snapshot.
 #[derive(Debug, Clone)]
 pub struct SnapshotCursor {
     jobs: Vec<JobId>,
@@ -15,25 +16,26 @@
     record: usize,
 }
 
-/// Records of a snapshot.
+/// One piece of a snapshot.
 #[derive(Debug, Default)]
 pub struct SnapshotPiece {
-    /// In order; some results lack their text.
+    /// Records in order; results in `on_disk` lack their text.
     pub records: Vec<LogRecord>,
-    /// Indices of these, and where their whole records lie in the copy that the book is of.
+    /// Records without text: index within the piece and location of the full record in this box's
+    /// copy of the log.
     pub on_disk: Vec<(usize, RecordLocation)>,
 }
 
 impl JobTable {
-    /// Begins a snapshot: records that give the same book when they are replayed, in order.
+    /// Starts a snapshot. Replaying its records in order gives the same table.
     pub fn snapshot_cursor(&self) -> SnapshotCursor {
         let mut jobs: Vec<JobId> = self.jobs.keys().cloned().collect();
-        jobs.sort_by_key(|id| (self.jobs[id].taken_at, id.clone()));
+        jobs.sort_by_key(|id| (self.jobs[id].accepted_at, id.clone()));
         SnapshotCursor { jobs, job: 0, record: 0 }
     }
 
-    /// The next records of a snapshot, about `max_bytes` of them; none after the last. Between
-    /// two pieces no record may be applied.
+    /// Returns the next records of a snapshot, about `max_bytes` in total; none at the end. No
+    /// record may be applied between two pieces.
     pub fn snapshot_piece(&self, cursor: &mut SnapshotCursor, max_bytes: usize) -> SnapshotPiece {
         let mut piece = SnapshotPiece::default();
         let mut bytes = 0;
@@ -44,15 +46,15 @@
             match self.jobs.get(id) {
                 Some(state) if cursor.record <= state.listed.len() => {
                     let listed = cursor.record.checked_sub(1).map(|at| &state.listed[at]);
-                    if let Some(place) = listed.and_then(ListedItem::on_disk) {
-                        piece.on_disk.push((from, place));
-                        bytes += place.len as usize;
+                    if let Some(location) = listed.and_then(ListedItem::on_disk) {
+                        piece.on_disk.push((from, location));
+                        bytes += location.len as usize;
                     }
                     piece.records.push(state.logged_record(id, cursor.record));
                     cursor.record += 1;
                 }
-                held => {
-                    let last = held.into_iter().flat_map(|state| state.last_records(id));
+                at_end => {
+                    let last = at_end.into_iter().flat_map(|state| state.final_records(id));
                     piece.records.extend(last);
                     cursor.job += 1;
                     cursor.record = 0;
--- a/crates/jobs/src/state.rs
+++ b/crates/jobs/src/state.rs
@@ -1,4 +1,4 @@
-//! State of one job, and the records that give it again.
+//! State of one job, and the log records that restore it.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -17,71 +17,73 @@
 /// A result that is on every copy of the log.
 #[derive(Debug)]
 pub(crate) struct ListedItem {
-    /// The result; without its text once that is read from the log alone.
+    /// The result; its text is empty after eviction from memory.
     pub result: JobResult,
-    /// Where its record lies in this box's copy, if that is known.
-    pub place: Option<RecordLocation>,
+    /// Location of its record in this box's copy of the log, if known.
+    pub location: Option<RecordLocation>,
 }
 
 impl ListedItem {
-    /// Where the text has to be read, if it is not held.
+    /// Returns the location to read the text from, if the text is not in memory.
     pub fn on_disk(&self) -> Option<RecordLocation> {
-        self.place.filter(|_| self.result.packed_text.is_empty() && self.result.text_bytes > 0)
+        self.location.filter(|_| self.result.packed_text.is_empty() && self.result.text_bytes > 0)
     }
 }
 
-/// A job of the book.
+/// State of one job of a [`JobTable`](crate::JobTable).
 #[derive(Debug)]
 pub(crate) struct JobState {
     pub job: Arc<Job>,
-    pub taken_at: Moment,
+    pub accepted_at: Moment,
     pub items: Vec<ItemState>,
-    /// Items to start, best first.
+    /// Indices of the items to start, in start order.
     pub waiting: VecDeque<u32>,
     /// Results that are on every copy of the log, by position.
     pub listed: Vec<ListedItem>,
-    /// Positions handed out, listed or on the way to the log.
-    pub positions: u32,
+    /// Next position to assign; lower ones are listed or being appended to the log.
+    pub next_position: u32,
     pub ended: bool,
-    /// The end is on its way to the log: nothing more is started.
+    /// The end is applied or being appended to the log; no more items start.
     pub ending: bool,
+    /// The record that drops the job is being appended to the log.
     pub dropping: bool,
     pub bytes: usize,
-    /// What its trainer waits for.
+    /// Timings for the log.
     pub trace: StepTrace,
 }
 
 impl JobState {
-    /// Forgets what only a job that runs needs: requests and bodies. Says how many bytes.
-    pub fn strip(&mut self) -> usize {
+    /// Drops the requests, which only an open job needs. Returns the number of bytes freed.
+    pub fn drop_requests(&mut self) -> usize {
         let mut job = self.job.as_ref().clone();
         let freed = request_bytes(&job);
         for item in &mut job.items {
             let reward = item.reward.take();
             *item = JobItem {
                 id: std::mem::take(&mut item.id),
-                // By its id a later job tells whether a score may be used again.
+                // A later job compares the id to decide whether it may reuse the score.
                 reward: reward.map(|reward| RewardCall { id: reward.id, ..RewardCall::default() }),
                 ..JobItem::default()
             };
         }
         self.job = Arc::new(job);
-        self.trace.strip();
+        self.trace.drop_items();
         self.bytes = self.bytes.saturating_sub(freed);
         freed
     }
 
-    /// Forgets the texts that can be read from the log. Says how many bytes.
-    pub fn forget_texts(&mut self) -> usize {
+    /// Evicts the texts that can be read from the log. Returns the number of bytes freed.
+    pub fn evict_texts(&mut self) -> usize {
         let mut freed = 0;
-        for listed in self.listed.iter_mut().filter(|listed| listed.place.is_some()) {
+        for listed in self.listed.iter_mut().filter(|listed| listed.location.is_some()) {
             freed += std::mem::take(&mut listed.result.packed_text).len();
         }
         self.bytes = self.bytes.saturating_sub(freed);
         freed
     }
 
-    /// The record of the job itself, or of the result before position `number`.
+    /// Returns the record of the job itself for `number` 0, else that of the result at position
+    /// `number - 1`.
     pub fn logged_record(&self, id: &JobId, number: usize) -> LogRecord {
         let Some(position) = number.checked_sub(1) else {
             return record(Body::Accepted(self.job.as_ref().clone()));
@@ -93,30 +95,30 @@
         }))
     }
 
-    /// The records after those of all results.
-    pub fn last_records(&self, id: &JobId) -> Vec<LogRecord> {
+    /// Returns the records that follow those of all results in a snapshot.
+    pub fn final_records(&self, id: &JobId) -> Vec<LogRecord> {
         let job = id.to_string();
         if self.ended {
             return vec![record(Body::Ended(JobRef { job }))];
         }
-        unlisted_text(&job, &self.items).collect()
+        unlisted_progress(&job, &self.items).collect()
     }
 }
 
-/// The text of items that are not listed yet.
-fn unlisted_text<'a>(
+/// Returns progress records with the text of items that are not listed yet.
+fn unlisted_progress<'a>(
     job: &'a str,
     items: &'a [ItemState],
 ) -> impl Iterator<Item = LogRecord> + use<'a> {
-    let held = items.iter().enumerate();
-    let held = held.filter(|(_, item)| item.phase != ItemPhase::Listed);
-    let held = held.filter(|(_, item)| item.events > 0 || item.complete);
-    held.map(|(index, item)| {
+    let unlisted = items.iter().enumerate();
+    let unlisted = unlisted.filter(|(_, item)| item.phase != ItemPhase::Listed);
+    let unlisted = unlisted.filter(|(_, item)| item.events > 0 || item.complete);
+    unlisted.map(|(index, item)| {
         record(Body::Progress(ItemProgress {
             job: job.to_owned(),
             index: u32::try_from(index).unwrap_or(u32::MAX),
             from_event: 0,
-            // How many events made a whole text that was carried over does not matter any more.
+            // A complete text that was carried over has no event count; replay needs at least one.
             events: item.events.max(1),
             packed_text: pack_text(&item.text),
             versions: item.versions.clone(),
@@ -125,12 +127,12 @@
     })
 }
 
-/// Bytes of a job's requests.
+/// Returns the encoded size of a job's requests, in bytes.
 pub(crate) fn request_bytes(job: &Job) -> usize {
     job.items.iter().map(Message::encoded_len).sum()
 }
 
-/// A log record of this body.
+/// Wraps a body in a log record.
 pub(crate) fn record(body: Body) -> LogRecord {
     LogRecord { body: Some(body) }
 }
--- a/crates/jobs/src/book.rs
+++ b/crates/jobs/src/table.rs
@@ -1,4 +1,4 @@
-//! The jobs of one shard.
+//! State of the jobs of one shard: applies log records and the outcomes of runs.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use wire::peer::{ItemProgress, Job, JobRef, JobResult, ListedResult, LogRecord};
 
 use crate::item::{ItemPhase, ItemState};
-use crate::order::TextPace;
+use crate::order::DurationEstimator;
 use crate::state::{JobState, ListedItem, record, request_bytes};
 use crate::trace::StepTrace;
 use crate::{
@@ -17,64 +17,64 @@
     run_order, unpack_text,
 };
 
-/// Pause before an item that failed is started again, so that a target in trouble, or the list
-/// that still names it, has time to change.
-const RETRY_PAUSE: Duration = Duration::from_millis(40);
-/// Pause before it is looked again whether work that ends its targets is still turned away.
-pub(crate) const CONDEMNED_PAUSE: Duration = Duration::from_secs(1);
-/// Beyond the route's longest wait before an item is given up: a clock that runs fast must not
+/// Delay before a failed item is started again: gives a failing target time to recover, or the
+/// target list time to drop it.
+const RETRY_DELAY: Duration = Duration::from_millis(40);
+/// Delay before the quarantine of an item is checked again.
+pub(crate) const QUARANTINE_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Added to the route's maximum wait before an item is given up, so that a fast clock does not
 /// give up early.
-const GIVE_UP_SLACK: Duration = Duration::from_secs(1);
+const GIVE_UP_MARGIN: Duration = Duration::from_secs(1);
 
-/// Jobs that ended last and whose texts stay in memory: what a job has left over is wanted by the
-/// trainer's next one. Older texts are read from the log.
-const HELD_ENDED: usize = 12;
+/// Number of recently ended jobs whose texts stay in memory, because the trainer's next jobs
+/// reuse them. Older texts are read from the log.
+const MAX_RECENTLY_ENDED: usize = 12;
 
 /// The jobs of one shard.
 #[derive(Debug)]
 pub struct JobTable {
-    /// How long a job can be read after it was taken, at least.
+    /// Minimum time for which a job can be read after it was accepted.
     retention: Duration,
     pub(crate) jobs: HashMap<JobId, JobState>,
-    /// Jobs that still run, in the order in which they were taken.
+    /// Jobs that have not ended, in order of acceptance.
     pub(crate) open: Vec<JobId>,
-    /// The jobs that ended last and whose texts are held, in the order of their ends.
-    ended: VecDeque<JobId>,
-    /// The last job that holds an item, for text that comes in use again.
-    holders: HashMap<String, ItemRef>,
+    /// Ended jobs whose texts stay in memory, in order of their end.
+    recently_ended: VecDeque<JobId>,
+    /// The latest job that contains each item, by item id; used to reuse text.
+    latest_refs: HashMap<String, ItemRef>,
     pub(crate) bytes: usize,
-    /// Whether no log takes records now.
-    closed: bool,
-    pub(crate) pace: TextPace,
+    /// Whether no log accepts records at the moment.
+    appends_suspended: bool,
+    pub(crate) durations: DurationEstimator,
 }
 
 impl JobTable {
-    /// A book without jobs; ended ones are held for `retention` after they were taken.
+    /// Creates an empty table. Ended jobs are kept for `retention` after their acceptance.
     pub fn new(retention: Duration) -> Self {
         Self {
             retention,
             jobs: HashMap::new(),
             open: Vec::new(),
-            ended: VecDeque::new(),
-            holders: HashMap::new(),
+            recently_ended: VecDeque::new(),
+            latest_refs: HashMap::new(),
             bytes: 0,
-            closed: false,
-            pace: TextPace::default(),
+            appends_suspended: false,
+            durations: DurationEstimator::default(),
         }
     }
 
-    /// Applies a record that is on every copy of the log. Records that say nothing new change
-    /// nothing, so a record may be applied twice.
+    /// Applies a record that is on every copy of the log. Idempotent: applying a record twice has
+    /// no further effect.
     pub fn apply(&mut self, now: Moment, record: LogRecord) {
         self.apply_at(now, record, None);
     }
 
-    /// As [`Self::apply`], for a record that lies at `place` in this box's copy: texts of jobs that
-    /// ended a while ago are read there.
-    pub fn apply_at(&mut self, now: Moment, record: LogRecord, place: Option<RecordLocation>) {
+    /// Like [`Self::apply`], for a record stored at `location` in this box's copy. Texts that are
+    /// no longer in memory are read from there.
+    pub fn apply_at(&mut self, now: Moment, record: LogRecord, location: Option<RecordLocation>) {
         match record.body {
             Some(Body::Accepted(job)) => self.apply_accepted(now, job),
-            Some(Body::Listed(listed)) => self.apply_listed(now, listed, place),
+            Some(Body::Listed(listed)) => self.apply_listed(now, listed, location),
             Some(Body::Ended(ended)) => self.apply_ended(&ended.job),
             Some(Body::Dropped(dropped)) => self.apply_dropped(&dropped.job),
             Some(Body::Progress(progress)) => self.apply_progress(&progress),
@@ -89,24 +89,24 @@
         }
         let job = Arc::new(job);
         let order = run_order(&job);
-        let trace = StepTrace::new(now, &job, |item| self.holders.contains_key(&item.id));
+        let trace = StepTrace::new(now, &job, |item| self.latest_refs.contains_key(&item.id));
         let mut items = vec![ItemState::new(); job.items.len()];
         for (index, item) in job.items.iter().enumerate() {
-            if let Some(state) = self.carried(&job, &item.id) {
+            if let Some(state) = self.carried_state(&job, &item.id) {
                 items[index] = state;
             }
             let index = u32::try_from(index).unwrap_or(u32::MAX);
-            self.holders.insert(item.id.clone(), ItemRef { job: id.clone(), index });
+            self.latest_refs.insert(item.id.clone(), ItemRef { job: id.clone(), index });
         }
         let bytes = request_bytes(&job);
         self.bytes += bytes;
         let state = JobState {
             job,
-            taken_at: now,
+            accepted_at: now,
             items,
             waiting: order.into(),
             listed: Vec::new(),
-            positions: 0,
+            next_position: 0,
             ended: false,
             ending: false,
             dropping: false,
@@ -117,14 +117,14 @@
         self.open.push(id);
     }
 
-    /// Text of an item that an earlier job has left behind, if this job may use it.
-    fn carried(&self, job: &Job, item: &str) -> Option<ItemState> {
-        let holder = self.holders.get(item)?;
-        let earlier = self.jobs.get(&holder.job)?;
-        let request = earlier.job.items.get(holder.index as usize)?;
+    /// Returns the state of an item that an earlier job left over, if this job may reuse its text.
+    fn carried_state(&self, job: &Job, item: &str) -> Option<ItemState> {
+        let latest = self.latest_refs.get(item)?;
+        let earlier = self.jobs.get(&latest.job)?;
+        let old_request = earlier.job.items.get(latest.index as usize)?;
         let mut state = ItemState::new();
-        let held = earlier.items.get(holder.index as usize)?;
-        // What one customer's work has brought is no other's, whatever ids they use.
+        let entry = earlier.items.get(latest.index as usize)?;
+        // Customers never share text, even if their item ids are equal.
         if earlier.job.customer != job.customer {
             return None;
         }
@@ -137,21 +137,27 @@
             state.complete = true;
             state.score = Some(result.score.clone());
         } else {
-            state.text.clone_from(&held.text);
-            state.events = held.events;
-            state.versions.clone_from(&held.versions);
-            state.complete = held.complete;
+            state.text.clone_from(&entry.text);
+            state.events = entry.events;
+            state.versions.clone_from(&entry.versions);
+            state.complete = entry.complete;
         }
-        let wanted = job.items.iter().find(|other| other.id == item)?;
-        let same_reward = request.reward.as_ref().map(|reward| &reward.id)
-            == wanted.reward.as_ref().map(|reward| &reward.id);
+        let new_request = job.items.iter().find(|other| other.id == item)?;
+        let same_reward = old_request.reward.as_ref().map(|reward| &reward.id)
+            == new_request.reward.as_ref().map(|reward| &reward.id);
         if !same_reward {
             state.score = None;
         }
-        (!state.versions.is_empty() && ItemState::fits(&state.versions, job)).then_some(state)
+        (!state.versions.is_empty() && ItemState::versions_fit(&state.versions, job))
+            .then_some(state)
     }
 
-    fn apply_listed(&mut self, now: Moment, listed: ListedResult, place: Option<RecordLocation>) {
+    fn apply_listed(
+        &mut self,
+        now: Moment,
+        listed: ListedResult,
+        location: Option<RecordLocation>,
+    ) {
         let Some(state) = self.state_mut(&listed.job) else { return };
         let Some(result) = listed.result else { return };
         if listed.position as usize != state.listed.len() {
@@ -160,17 +166,18 @@
         let index = state.job.items.iter().position(|item| item.id == result.item);
         if let Some(index) = index {
             state.items[index].phase = ItemPhase::Listed;
-            // All of it goes with the listing, or a later job that asks for the item would take what is left, events
-            // without their text, for a text: an item that was given up whole came back as an empty sample.
-            state.items[index].forget_text();
+            // Clears the event count and the flags along with the text. Otherwise a later job would
+            // reuse them as a complete but empty text.
+            state.items[index].clear_text();
             state.waiting.retain(|waiting| *waiting as usize != index);
             let group = &state.job.items[index].group;
             let index = u32::try_from(index).unwrap_or(u32::MAX);
-            state.trace.listed(now, index, listed.position, group);
+            state.trace.item_listed(now, index, listed.position, group);
         }
         let bytes = result.packed_text.len();
-        state.listed.push(ListedItem { result, place });
-        state.positions = state.positions.max(u32::try_from(state.listed.len()).unwrap_or(0));
+        state.listed.push(ListedItem { result, location });
+        state.next_position =
+            state.next_position.max(u32::try_from(state.listed.len()).unwrap_or(0));
         state.bytes += bytes;
         self.bytes += bytes;
     }
@@ -178,11 +185,11 @@
     fn apply_progress(&mut self, progress: &ItemProgress) {
         let Some(state) = self.state_mut(&progress.job) else { return };
         let Some(item) = state.items.get_mut(progress.index as usize) else { return };
-        let known = item.complete || item.phase == ItemPhase::Listed;
-        if known || item.events != progress.from_event {
+        let is_final = item.complete || item.phase == ItemPhase::Listed;
+        if is_final || item.events != progress.from_event {
             return;
         }
-        // A text that cannot be unpacked is made again.
+        // Text that cannot be unpacked is generated again.
         let Ok(text) = unpack_text(&progress.packed_text) else { return };
         item.add_text(&text, progress.events, &progress.versions);
         item.complete |= progress.complete;
@@ -193,17 +200,17 @@
         state.ended = true;
         state.ending = true;
         state.waiting.clear();
-        let mut freed = state.strip();
+        let mut freed = state.drop_requests();
         self.open.retain(|open| open.as_str() != job);
         if let Ok(id) = job.parse()
-            && !self.ended.contains(&id)
+            && !self.recently_ended.contains(&id)
         {
-            self.ended.push_back(id);
+            self.recently_ended.push_back(id);
         }
-        if self.ended.len() > HELD_ENDED
-            && let Some(id) = self.ended.pop_front()
+        if self.recently_ended.len() > MAX_RECENTLY_ENDED
+            && let Some(id) = self.recently_ended.pop_front()
         {
-            freed += self.jobs.get_mut(&id).map_or(0, JobState::forget_texts);
+            freed += self.jobs.get_mut(&id).map_or(0, JobState::evict_texts);
         }
         self.bytes = self.bytes.saturating_sub(freed);
     }
@@ -213,8 +220,8 @@
         let Some(state) = self.jobs.remove(&id) else { return };
         self.bytes = self.bytes.saturating_sub(state.bytes);
         self.open.retain(|open| *open != id);
-        self.ended.retain(|ended| *ended != id);
-        self.holders.retain(|_, holder| holder.job != id);
+        self.recently_ended.retain(|ended| *ended != id);
+        self.latest_refs.retain(|_, latest| latest.job != id);
     }
 
     fn state_mut(&mut self, job: &str) -> Option<&mut JobState> {
@@ -222,13 +229,13 @@
         self.jobs.get_mut(&id)
     }
 
-    /// Forgets what was on the way to a log that has ended: items whose record was not applied
-    /// are listed again, or go on with the text they have. No position is given until
-    /// [`Self::resume_appends`]: its record would reach no log, and the position stay empty for ever.
+    /// Rolls back the records that were not applied when the log closed: their items are listed
+    /// again or continue with the text they have. No position is assigned until
+    /// [`Self::resume_appends`], because its record would reach no log and leave a permanent gap.
     pub fn suspend_appends(&mut self) {
-        self.closed = true;
+        self.appends_suspended = true;
         for state in self.jobs.values_mut() {
-            state.positions = u32::try_from(state.listed.len()).unwrap_or(u32::MAX);
+            state.next_position = u32::try_from(state.listed.len()).unwrap_or(u32::MAX);
             state.ending = state.ended;
             state.dropping = false;
             if state.ended {
@@ -250,12 +257,12 @@
         }
     }
 
-    /// From here on a log takes records.
+    /// Allows new positions again: a log accepts records.
     pub const fn resume_appends(&mut self) {
-        self.closed = false;
+        self.appends_suspended = false;
     }
 
-    /// When an item that pauses may start, if that is later than `now`.
+    /// Returns the earliest time after `now` at which a delayed item may start.
     pub fn next_start(&self, now: Moment) -> Option<Moment> {
         let open = self.open.iter().filter_map(|id| self.jobs.get(id));
         let items = open.flat_map(|state| {
@@ -264,13 +271,13 @@
         items.filter(|at| *at > now).min()
     }
 
-    /// The score of a text that was whole before, from an earlier job.
+    /// Returns the item's score if it is cached: from an earlier job or an earlier reward call.
     pub fn cached_score(&self, item: &ItemRef) -> Option<String> {
         let state = self.jobs.get(&item.job)?;
         state.items.get(item.index as usize)?.score.clone()
     }
 
-    /// Takes the end of a run. `true` when the text is whole and its reward call is due.
+    /// Handles the end of a run. Returns `true` if the text is complete and its reward call is due.
     pub fn run_ended(&mut self, now: Moment, spec: &RunSpec, run: &RunResult) -> bool {
         let item = &spec.item;
         let Some(state) = self.jobs.get_mut(&item.job) else { return false };
@@ -279,16 +286,16 @@
         if entry.phase != ItemPhase::Running || entry.run != spec.run {
             return false;
         }
-        state.trace.ran(now, item.index);
+        state.trace.run_ended(now, item.index);
         if run.outcome == RunOutcome::Unusable || entry.events < spec.events {
-            entry.forget_text();
+            entry.clear_text();
         } else {
-            // Some of the events may have come through the log already.
+            // Some of the events may already have been applied from the log.
             let kept = (entry.events - spec.events) as usize;
-            entry.add(run.events.get(kept..).unwrap_or_default());
-            if !ItemState::fits(&entry.versions, &job) {
-                entry.forget_text();
-                return self.again(now, item, RETRY_PAUSE);
+            entry.add_events(run.events.get(kept..).unwrap_or_default());
+            if !ItemState::versions_fit(&entry.versions, &job) {
+                entry.clear_text();
+                return self.requeue(now, item, RETRY_DELAY);
             }
         }
         match run.outcome {
@@ -296,87 +303,97 @@
                 entry.complete = true;
                 if spec.events == 0 {
                     let hint = spec.request().map_or(0, |item| item.length_hint);
-                    self.pace.took(hint, now.since(entry.started_at));
+                    self.durations.observe(hint, now.since(entry.started_at));
                 }
                 true
             }
             RunOutcome::Failed => {
                 entry.failures += 1;
-                self.again(now, item, RETRY_PAUSE)
+                self.requeue(now, item, RETRY_DELAY)
             }
             RunOutcome::Impossible => {
                 entry.failures = job.attempts.max(1);
-                self.again(now, item, Duration::ZERO)
+                self.requeue(now, item, Duration::ZERO)
             }
-            RunOutcome::Moved => self.again(now, item, Duration::ZERO),
+            RunOutcome::Moved => self.requeue(now, item, Duration::ZERO),
             RunOutcome::Cut | RunOutcome::NotRun | RunOutcome::Unusable => {
-                self.again(now, item, RETRY_PAUSE)
+                self.requeue(now, item, RETRY_DELAY)
             }
         }
     }
 
-    /// Takes the end of a reward call; the record to append when the item is done with.
-    pub fn scored(&mut self, now: Moment, item: &ItemRef, end: RewardOutcome) -> Option<LogRecord> {
+    /// Handles the outcome of a reward call. Returns the record to append if the item is done.
+    pub fn scored(
+        &mut self,
+        now: Moment,
+        item: &ItemRef,
+        outcome: RewardOutcome,
+    ) -> Option<LogRecord> {
         let state = self.jobs.get_mut(&item.job)?;
         let entry = state.items.get_mut(item.index as usize)?;
         if entry.phase != ItemPhase::Running || state.ending {
             return None;
         }
-        state.trace.scored(now, item.index);
-        match end {
+        state.trace.reward_ended(now, item.index);
+        match outcome {
             RewardOutcome::Scored(score) => {
                 entry.score = Some(score);
-                if self.closed {
-                    self.again(now, item, Duration::ZERO);
+                if self.appends_suspended {
+                    self.requeue(now, item, Duration::ZERO);
                     return None;
                 }
-                return self.list(item, true);
+                return self.list_item(item, true);
             }
             RewardOutcome::Failed { attempts } => {
                 entry.reward_failures += 1;
                 entry.reward_attempts = attempts;
             }
             RewardOutcome::Quarantined => {
-                self.again(now, item, CONDEMNED_PAUSE);
+                self.requeue(now, item, QUARANTINE_RETRY_DELAY);
                 return None;
             }
             RewardOutcome::Missed => {}
         }
-        self.again(now, item, RETRY_PAUSE);
+        self.requeue(now, item, RETRY_DELAY);
         None
     }
 
-    /// The records of items that failed so often, or waited so long, that they are given up, and why.
+    /// Gives up items that failed too often or waited too long. Returns the records to append, each
+    /// with its reason.
     pub fn give_up(&mut self, now: Moment) -> Vec<(LogRecord, LossReason)> {
-        if self.closed {
+        if self.appends_suspended {
             return Vec::new();
         }
-        let mut lost = Vec::new();
+        let mut given_up = Vec::new();
         for id in &self.open {
             let Some(state) = self.jobs.get(id) else { continue };
-            let late = state.job.max_wait_ms > 0
-                && now.since(state.taken_at)
-                    > Duration::from_millis(state.job.max_wait_ms) + GIVE_UP_SLACK;
+            let timed_out = state.job.max_wait_ms > 0
+                && now.since(state.accepted_at)
+                    > Duration::from_millis(state.job.max_wait_ms) + GIVE_UP_MARGIN;
             let attempts = state.job.attempts.max(1);
             for index in &state.waiting {
                 let item = &state.items[*index as usize];
                 let rewards = item.reward_attempts.max(attempts);
-                let why = if item.failures >= attempts {
+                let reason = if item.failures >= attempts {
                     LossReason::Failures
                 } else if item.reward_failures >= rewards {
                     LossReason::RewardFailures
-                } else if late {
+                } else if timed_out {
                     LossReason::TooLate
                 } else {
                     continue;
                 };
-                lost.push((ItemRef { job: id.clone(), index: *index }, why));
+                given_up.push((ItemRef { job: id.clone(), index: *index }, reason));
             }
         }
-        lost.iter().filter_map(|(item, why)| Some((self.list(item, false)?, *why))).collect()
+        given_up
+            .iter()
+            .filter_map(|(item, reason)| Some((self.list_item(item, false)?, *reason)))
+            .collect()
     }
 
-    fn list(&mut self, item: &ItemRef, done: bool) -> Option<LogRecord> {
+    /// Assigns the next position to an item and returns the record that lists it.
+    fn list_item(&mut self, item: &ItemRef, done: bool) -> Option<LogRecord> {
         let state = self.jobs.get_mut(&item.job)?;
         let request = state.job.items.get(item.index as usize)?;
         let entry = state.items.get_mut(item.index as usize)?;
@@ -389,19 +406,20 @@
             versions: if done { entry.versions.clone() } else { Vec::new() },
             score: entry.score.clone().filter(|_| done).unwrap_or_default(),
         };
-        let position = state.positions;
-        state.positions += 1;
+        let position = state.next_position;
+        state.next_position += 1;
         state.waiting.retain(|waiting| *waiting != item.index);
         let listed = ListedResult { job: item.job.to_string(), position, result: Some(result) };
         Some(record(Body::Listed(listed)))
     }
 
-    fn again(&mut self, now: Moment, item: &ItemRef, pause: Duration) -> bool {
+    /// Queues an item to start again after `delay`. Always returns `false`.
+    fn requeue(&mut self, now: Moment, item: &ItemRef, delay: Duration) -> bool {
         let Some(state) = self.jobs.get_mut(&item.job) else { return false };
         let Some(entry) = state.items.get_mut(item.index as usize) else { return false };
         if entry.phase != ItemPhase::Listed {
             entry.phase = ItemPhase::Waiting;
-            entry.not_before = now + pause;
+            entry.not_before = now + delay;
             if !state.ending && !state.waiting.contains(&item.index) {
                 state.waiting.push_front(item.index);
             }
@@ -409,10 +427,11 @@
         false
     }
 
-    /// The record that ends a job; `None` when its end is known or on the way.
+    /// Returns the record that ends a job, or `None` if the job has ended or is ending, is unknown,
+    /// or appends are suspended.
     pub fn end(&mut self, id: &JobId) -> Option<LogRecord> {
         let state = self.jobs.get_mut(id)?;
-        if state.ending || self.closed {
+        if state.ending || self.appends_suspended {
             return None;
         }
         state.ending = true;
@@ -420,27 +439,27 @@
         Some(record(Body::Ended(JobRef { job: id.to_string() })))
     }
 
-    /// Notes that results of a job before position `until` were told.
+    /// Records that the results of a job before position `until` were read.
     pub fn record_read(&mut self, now: Moment, id: &JobId, until: u32) {
         if let Some(state) = self.jobs.get_mut(id) {
-            state.trace.read(now, until);
+            state.trace.results_read(now, until);
         }
     }
 
-    /// What became of a job that ends now; `None` when it is not held or has ended before.
+    /// Returns the timings of a job that ends now, or `None` if it is unknown or has ended before.
     pub fn finish_timings(&mut self, now: Moment, id: &JobId) -> Option<StepTimings> {
         let state = self.jobs.get_mut(id).filter(|state| !state.ended)?;
-        Some(state.trace.end(now, state.taken_at, &state.job))
+        Some(state.trace.finish(now, state.accepted_at, &state.job))
     }
 
-    /// The records that drop ended jobs past their retention.
+    /// Returns the records that drop ended jobs past their retention.
     pub fn expire(&mut self, now: Moment) -> Vec<LogRecord> {
-        if self.closed {
+        if self.appends_suspended {
             return Vec::new();
         }
         let retention = self.retention;
         let old = self.jobs.iter_mut().filter(|(_, state)| {
-            state.ended && !state.dropping && now.since(state.taken_at) > retention
+            state.ended && !state.dropping && now.since(state.accepted_at) > retention
         });
         let dropped = old.map(|(id, state)| {
             state.dropping = true;
@@ -449,13 +468,13 @@
         dropped.collect()
     }
 
-    /// Takes the places of results in a new copy, by job and position.
-    pub fn relocate(&mut self, places: &[(JobId, u32, RecordLocation)]) {
-        for (id, position, place) in places {
+    /// Sets the locations of results in a new copy, by job and position.
+    pub fn relocate(&mut self, locations: &[(JobId, u32, RecordLocation)]) {
+        for (id, position, location) in locations {
             let listed =
                 self.jobs.get_mut(id).and_then(|job| job.listed.get_mut(*position as usize));
             if let Some(listed) = listed {
-                listed.place = Some(*place);
+                listed.location = Some(*location);
             }
         }
     }
--- a/crates/jobs/src/trace.rs
+++ b/crates/jobs/src/trace.rs
@@ -1,9 +1,8 @@
-//! What a trainer waits for: one account for each job, told once when the job ends.
+//! Timings of a job, reported once when the job ends.
 //!
-//! A trainer goes on when as many whole groups as it wants are listed, and groups that it has left over
-//! before are among them. So the account tells when the first run began, when the last wanted item was
-//! listed and read, what that item spent its time on, and for how long the job had an item that could
-//! not start, by the reason.
+//! A trainer continues when enough complete groups are listed, all groups carried over from earlier
+//! jobs included. The timings contain the start of the first run, when the last wanted item was
+//! listed and read, the time breakdown of that item, and how long items were blocked, by reason.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -11,31 +10,31 @@
 use ids::{InstanceId, Moment};
 use wire::peer::{Job, JobItem};
 
-/// Why an item that waits cannot start.
+/// Why a waiting item cannot start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum BlockReason {
     /// No route leads to a service.
     NoRoute,
-    /// No engine holds weights that are new enough.
+    /// No engine has weights that are new enough.
     OldWeights,
-    /// Those that hold them load.
+    /// The suitable engines are loading weights.
     Loading,
-    /// Those that hold them rest after a failure or a refusal.
+    /// The suitable engines are backed off after a failure or a refusal.
     BackedOff,
-    /// Those that hold them have no place.
+    /// The suitable engines are at capacity.
     Full,
-    /// Those that hold them are cold, and have got what they bear for now.
+    /// The suitable engines are cold and at their reduced limit.
     Cold,
-    /// Those that hold them are in failure domains that are to be emptied.
+    /// The suitable engines are in failure domains that are being evacuated.
     Evacuated,
-    /// This box holds as many connections as it may.
+    /// This box has reached its connection limit.
     NoConnections,
-    /// The item ends the targets that run it. It holds up no other.
+    /// The item is quarantined because it crashes its targets. It doesn't block other items.
     Quarantined,
 }
 
 impl BlockReason {
-    /// All reasons, the order in which they are told.
+    /// All reasons, in reporting order.
     pub const ALL: [Self; 9] = [
         Self::NoRoute,
         Self::OldWeights,
@@ -49,72 +48,73 @@
     ];
 }
 
-/// What an item spent its time on, while this box served its shard.
+/// Time breakdown of an item while this box served its shard.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ItemTimings {
-    /// Waiting for a place at an engine.
+    /// Time spent waiting for an engine.
     pub waited: Duration,
-    /// At engines.
+    /// Time spent running on engines.
     pub ran: Duration,
-    /// From the whole text to its score.
+    /// Time from the complete text to its score.
     pub scored: Duration,
-    /// Runs that were started.
+    /// Number of runs started.
     pub runs: u32,
-    /// The engine of the last run.
+    /// Engine of the last run.
     pub target: Option<InstanceId>,
-    /// When the phase that goes on now began.
+    /// Start of the current phase.
     pub(crate) since: Moment,
 }
 
-/// What became of a job until it ended.
+/// Timings of a job, counted from its acceptance on this box.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StepTimings {
-    /// From the moment the job was taken here to its first run.
+    /// Time of the first run.
     pub first_run: Option<Duration>,
-    /// To the moment when the last wanted item was listed.
+    /// Time when the last wanted item was listed.
     pub wanted: Option<Duration>,
-    /// To the first answer that told of it.
+    /// Time of the first response that contained the last wanted item.
     pub read: Option<Duration>,
-    /// To the end.
+    /// Time of the job's end.
     pub ended: Duration,
-    /// Items that came again from an earlier job.
+    /// Number of items carried over from earlier jobs.
     pub carried: u32,
-    /// The item that came last of those wanted.
+    /// Id and time breakdown of the last wanted item.
     pub last: Option<(String, ItemTimings)>,
-    /// How long some item could not start, by the reason.
+    /// How long items were blocked, by reason.
     pub blocked: Vec<(BlockReason, Duration)>,
 }
 
-/// The account of a job while it goes on.
+/// Records the timings of an open job.
 #[derive(Debug)]
 pub(crate) struct StepTrace {
     first_run: Option<Moment>,
     wanted_at: Option<Moment>,
     read_at: Option<Moment>,
-    /// Position of the last wanted item, and its index.
+    /// Position and index of the last wanted item.
     last: Option<(u32, u32)>,
-    holds: HashMap<BlockReason, Duration>,
-    held: Option<(BlockReason, Moment)>,
-    /// Items not listed yet, by group.
-    open: HashMap<String, u32>,
-    carried: HashSet<String>,
+    block_times: HashMap<BlockReason, Duration>,
+    current_block: Option<(BlockReason, Moment)>,
+    /// Number of items not listed yet, by group.
+    unlisted: HashMap<String, u32>,
+    carried_groups: HashSet<String>,
     carried_items: u32,
     wanted_groups: u32,
-    whole_groups: u32,
-    accounts: Vec<ItemTimings>,
+    complete_groups: u32,
+    items: Vec<ItemTimings>,
 }
 
 impl StepTrace {
-    /// The account of a job taken at `now`, some of whose items an earlier job has left over.
+    /// Creates the trace of a job accepted at `now`. `is_carried` says whether an earlier job
+    /// contained an item.
     pub fn new(now: Moment, job: &Job, is_carried: impl Fn(&JobItem) -> bool) -> Self {
-        let mut open: HashMap<String, u32> = HashMap::new();
-        let mut carried = HashSet::new();
+        let mut unlisted: HashMap<String, u32> = HashMap::new();
+        let mut carried_groups = HashSet::new();
         let mut carried_items = 0;
         for item in &job.items {
-            *open.entry(item.group.clone()).or_default() += 1;
+            *unlisted.entry(item.group.clone()).or_default() += 1;
             if is_carried(item) {
                 carried_items += 1;
-                carried.insert(item.group.clone());
+                carried_groups.insert(item.group.clone());
             }
         }
         Self {
@@ -122,99 +122,101 @@
             wanted_at: None,
             read_at: None,
             last: None,
-            holds: HashMap::new(),
-            held: None,
-            open,
-            carried,
+            block_times: HashMap::new(),
+            current_block: None,
+            unlisted,
+            carried_groups,
             carried_items,
             wanted_groups: job.wanted_groups,
-            whole_groups: 0,
-            accounts: vec![ItemTimings { since: now, ..ItemTimings::default() }; job.items.len()],
+            complete_groups: 0,
+            items: vec![ItemTimings { since: now, ..ItemTimings::default() }; job.items.len()],
         }
     }
 
-    fn account(&mut self, index: u32) -> Option<&mut ItemTimings> {
-        self.accounts.get_mut(index as usize)
+    fn item_mut(&mut self, index: u32) -> Option<&mut ItemTimings> {
+        self.items.get_mut(index as usize)
     }
 
-    /// An item begins to run.
-    pub fn started(&mut self, now: Moment, index: u32, target: Option<InstanceId>) {
+    /// Records the start of a run; `target` is `None` for a reward call alone.
+    pub fn run_started(&mut self, now: Moment, index: u32, target: Option<InstanceId>) {
         self.first_run.get_or_insert(now);
-        let Some(account) = self.account(index) else { return };
-        account.waited += now.since(account.since);
-        account.since = now;
-        account.runs += u32::from(target.is_some());
-        account.target = target.or_else(|| account.target.take());
+        let Some(timings) = self.item_mut(index) else { return };
+        timings.waited += now.since(timings.since);
+        timings.since = now;
+        timings.runs += u32::from(target.is_some());
+        timings.target = target.or_else(|| timings.target.take());
     }
 
-    /// An item's run ended.
-    pub fn ran(&mut self, now: Moment, index: u32) {
-        let Some(account) = self.account(index) else { return };
-        account.ran += now.since(account.since);
-        account.since = now;
+    /// Records the end of an item's run.
+    pub fn run_ended(&mut self, now: Moment, index: u32) {
+        let Some(timings) = self.item_mut(index) else { return };
+        timings.ran += now.since(timings.since);
+        timings.since = now;
     }
 
-    /// An item's reward call ended.
-    pub fn scored(&mut self, now: Moment, index: u32) {
-        let Some(account) = self.account(index) else { return };
-        account.scored += now.since(account.since);
-        account.since = now;
+    /// Records the end of an item's reward call.
+    pub fn reward_ended(&mut self, now: Moment, index: u32) {
+        let Some(timings) = self.item_mut(index) else { return };
+        timings.scored += now.since(timings.since);
+        timings.since = now;
     }
 
-    /// Some item cannot start for a reason, or none is held up any more.
-    pub fn hold(&mut self, now: Moment, hold: Option<BlockReason>) {
-        if let Some((last, since)) = self.held.take() {
-            *self.holds.entry(last).or_default() += now.since(since);
+    /// Sets why items are blocked now; `None` if no item is.
+    pub fn set_block_reason(&mut self, now: Moment, reason: Option<BlockReason>) {
+        if let Some((last, since)) = self.current_block.take() {
+            *self.block_times.entry(last).or_default() += now.since(since);
         }
-        self.held = hold.map(|hold| (hold, now));
+        self.current_block = reason.map(|reason| (reason, now));
     }
 
-    /// An item is listed at a position.
-    pub fn listed(&mut self, now: Moment, index: u32, position: u32, group: &str) {
-        let Some(open) = self.open.get_mut(group) else { return };
-        *open = open.saturating_sub(1);
-        if *open > 0 {
+    /// Records that an item was listed at a position.
+    pub fn item_listed(&mut self, now: Moment, index: u32, position: u32, group: &str) {
+        let Some(remaining) = self.unlisted.get_mut(group) else { return };
+        *remaining = remaining.saturating_sub(1);
+        if *remaining > 0 {
             return;
         }
-        self.whole_groups += 1;
-        self.carried.remove(group);
-        let wanted = self.whole_groups >= self.wanted_groups && self.carried.is_empty();
+        self.complete_groups += 1;
+        self.carried_groups.remove(group);
+        let wanted = self.complete_groups >= self.wanted_groups && self.carried_groups.is_empty();
         if wanted && self.wanted_at.is_none() {
             self.wanted_at = Some(now);
             self.last = Some((position, index));
         }
     }
 
-    /// Results before `until` were told.
-    pub fn read(&mut self, now: Moment, until: u32) {
+    /// Records that results before position `until` were read.
+    pub fn results_read(&mut self, now: Moment, until: u32) {
         if self.last.is_some_and(|(position, _)| position < until) {
             self.read_at.get_or_insert(now);
         }
     }
 
-    /// The account at the job's end.
-    pub fn end(&mut self, now: Moment, taken_at: Moment, job: &Job) -> StepTimings {
-        self.hold(now, None);
-        let after = |at: Option<Moment>| at.map(|at| at.since(taken_at));
+    /// Returns the timings at the job's end.
+    pub fn finish(&mut self, now: Moment, accepted_at: Moment, job: &Job) -> StepTimings {
+        self.set_block_reason(now, None);
+        let after = |at: Option<Moment>| at.map(|at| at.since(accepted_at));
         let last = self.last.and_then(|(_, index)| {
             let item = job.items.get(index as usize)?;
-            Some((item.id.clone(), self.accounts.get(index as usize)?.clone()))
+            Some((item.id.clone(), self.items.get(index as usize)?.clone()))
         });
-        let holds = BlockReason::ALL.into_iter();
+        let reasons = BlockReason::ALL.into_iter();
         StepTimings {
             first_run: after(self.first_run),
             wanted: after(self.wanted_at),
             read: after(self.read_at),
-            ended: now.since(taken_at),
+            ended: now.since(accepted_at),
             carried: self.carried_items,
             last,
-            blocked: holds.filter_map(|hold| Some((hold, *self.holds.get(&hold)?))).collect(),
+            blocked: reasons
+                .filter_map(|reason| Some((reason, *self.block_times.get(&reason)?)))
+                .collect(),
         }
     }
 
-    /// Forgets what only a job that runs needs.
-    pub fn strip(&mut self) {
-        self.accounts = Vec::new();
-        self.open = HashMap::new();
+    /// Drops the state of items and groups, which only an open job needs.
+    pub fn drop_items(&mut self) {
+        self.items = Vec::new();
+        self.unlisted = HashMap::new();
     }
 }
--- a/crates/jobs/tests/common/mod.rs
+++ b/crates/jobs/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Jobs for the tests.
+//! Builders of jobs, events and records for the tests.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use wire::peer::log_record::Body;
 use wire::peer::{Job, JobItem, LogRecord, RewardCall};
 
-pub fn book() -> JobTable {
+pub fn table() -> JobTable {
     JobTable::new(Duration::from_mins(2))
 }
 
@@ -15,7 +15,7 @@
     Moment::START + Duration::from_millis(millis)
 }
 
-/// A job of `groups` groups of two items.
+/// Creates a job of `groups` groups with two items each.
 pub fn job(id: &str, groups: usize) -> Job {
     let items = (0..groups * 2).map(|index| JobItem {
         id: format!("item-{index}"),
@@ -50,18 +50,20 @@
     RunResult { outcome, events, logged: 0 }
 }
 
-/// Starts everything that may start.
-pub fn start_all(book: &mut JobTable, now: Moment) -> Vec<RunSpec> {
+/// Starts all items that may start and returns their specs.
+pub fn start_all(table: &mut JobTable, now: Moment) -> Vec<RunSpec> {
     let mut started = Vec::new();
-    book.start_ready(now, |spec| {
+    table.start_ready(now, |spec| {
         started.push(spec);
         Ok(None)
     });
     started
 }
 
-pub fn text_of(book: &JobTable, job: &str) -> Vec<String> {
-    let page = book.page(&job.parse().expect("an id"), 0, usize::MAX).expect("the job is held");
+pub fn text_of(table: &JobTable, job: &str) -> Vec<String> {
+    let page = table.page(&job.parse().expect("valid job id"), 0, usize::MAX).expect("job exists");
     let texts = page.page.results.iter().map(|result| unpack_text(&result.packed_text));
-    texts.map(|text| String::from_utf8(text.expect("packed")).expect("text")).collect()
+    texts
+        .map(|text| String::from_utf8(text.expect("valid packed text")).expect("valid UTF-8"))
+        .collect()
 }
--- a/crates/jobs/tests/replay.rs
+++ b/crates/jobs/tests/replay.rs
@@ -1,8 +1,8 @@
-//! A replayed log gives the same book, whatever happened while it was written.
+//! Replay of a log gives the same table, whatever runs and outcomes produced the log.
 
 mod common;
 
-use common::{accepted, at, book, events, job, run, start_all, text_of};
+use common::{accepted, at, events, job, run, start_all, table, text_of};
 use ids::JobId;
 use jobs::{JobTable, RewardOutcome, RunOutcome, RunSpec};
 use rand::{Rng, SeedableRng};
@@ -17,78 +17,79 @@
     format!("job-{index}")
 }
 
-/// Random life of a book; every record it gives is applied and kept.
-fn live(seed: u64) -> (JobTable, Vec<LogRecord>) {
+/// Performs random actions on a table. Returns the table and the log of all its records.
+fn random_history(seed: u64) -> (JobTable, Vec<LogRecord>) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut book = book();
+    let mut table = table();
     let mut log = Vec::new();
     let mut running: Vec<(RunSpec, u32)> = Vec::new();
-    for turn in 0..ACTIONS {
-        let now = at(turn * 100);
+    for action in 0..ACTIONS {
+        let now = at(action * 100);
         let mut records = Vec::new();
         match rng.random_range(0..10) {
             0 => records.push(accepted(job(&name(rng.random_range(0..JOBS)), 2))),
-            1 if turn > ACTIONS / 2 => {
-                let id: JobId = name(rng.random_range(0..JOBS)).parse().expect("an id");
-                records.extend(book.end(&id));
+            1 if action > ACTIONS / 2 => {
+                let id: JobId = name(rng.random_range(0..JOBS)).parse().expect("valid job id");
+                records.extend(table.end(&id));
             }
-            2..5 => running.extend(start_all(&mut book, now).into_iter().map(|spec| (spec, 0))),
-            5 => records.extend(book.give_up(now).into_iter().map(|(record, _)| record)),
+            2..5 => running.extend(start_all(&mut table, now).into_iter().map(|spec| (spec, 0))),
+            5 => records.extend(table.give_up(now).into_iter().map(|(record, _)| record)),
             6 if !running.is_empty() => {
                 let at = rng.random_range(0..running.len());
                 let (spec, sent) = &mut running[at];
-                let made = events(spec.events + 1, *sent + 2, 3);
-                records.push(spec.progress(&made, *sent as usize));
+                let received = events(spec.events + 1, *sent + 2, 3);
+                records.push(spec.progress(&received, *sent as usize));
                 *sent += 2;
             }
             _ if !running.is_empty() => {
                 let at = rng.random_range(0..running.len());
                 let (spec, sent) = running.remove(at);
-                let made = events(spec.events + 1, sent + rng.random_range(0..3), 3);
+                let received = events(spec.events + 1, sent + rng.random_range(0..3), 3);
                 let outcome = match rng.random_range(0..4) {
                     0 => RunOutcome::Cut,
                     1 => RunOutcome::NotRun,
                     _ => RunOutcome::Complete,
                 };
-                if spec.complete || book.run_ended(now, &spec, &run(outcome, made)) {
+                if spec.complete || table.run_ended(now, &spec, &run(outcome, received)) {
                     let end = match rng.random_range(0..4) {
                         0 => RewardOutcome::Missed,
                         1 => RewardOutcome::Failed { attempts: 4 },
                         _ => RewardOutcome::Scored("s".to_owned()),
                     };
-                    records.extend(book.scored(now, &spec.item, end));
+                    records.extend(table.scored(now, &spec.item, end));
                 }
             }
             _ => {}
         }
         for record in records {
-            book.apply(now, record.clone());
+            table.apply(now, record.clone());
             log.push(record);
         }
     }
-    (book, log)
+    (table, log)
 }
 
-fn texts(book: &JobTable) -> Vec<Vec<String>> {
-    let held = (0..JOBS).map(name).filter(|name| book.contains(&name.parse().expect("an id")));
-    held.map(|name| text_of(book, &name)).collect()
+fn texts(table: &JobTable) -> Vec<Vec<String>> {
+    let existing =
+        (0..JOBS).map(name).filter(|name| table.contains(&name.parse().expect("valid job id")));
+    existing.map(|name| text_of(table, &name)).collect()
 }
 
 #[test]
-fn a_replay_gives_the_same_results_at_the_same_positions() {
+fn replay_and_snapshot_give_the_same_results_at_the_same_positions() {
     let mut listed = 0;
     for seed in 0..SEEDS {
-        let (lived, log) = live(seed);
-        let mut replayed = book();
+        let (original, log) = random_history(seed);
+        let mut replayed = table();
         for record in log {
             replayed.apply(at(0), record);
         }
-        assert_eq!(texts(&replayed), texts(&lived), "seed {seed}");
-        let mut copied = book();
-        let mut cursor = lived.snapshot_cursor();
-        // Small pieces: each job is cut in many places.
+        assert_eq!(texts(&replayed), texts(&original), "seed {seed}");
+        let mut copied = table();
+        let mut cursor = original.snapshot_cursor();
+        // Pieces of 100 bytes split each job many times.
         loop {
-            let piece = lived.snapshot_piece(&mut cursor, 100);
+            let piece = original.snapshot_piece(&mut cursor, 100);
             if piece.records.is_empty() {
                 break;
             }
@@ -96,21 +97,19 @@
                 copied.apply(at(0), record);
             }
         }
-        assert_eq!(texts(&copied), texts(&lived), "seed {seed}, from a snapshot");
-        listed += texts(&lived).iter().map(Vec::len).sum::<usize>();
+        assert_eq!(texts(&copied), texts(&original), "seed {seed}, from a snapshot");
+        listed += texts(&original).iter().map(Vec::len).sum::<usize>();
     }
     assert!(listed > 1_000, "only {listed} results were listed");
 }
 
 #[test]
-fn no_text_misses_an_event_or_holds_one_twice() {
+fn texts_have_no_missing_or_duplicate_events() {
     for seed in 0..SEEDS {
-        let (lived, _) = live(seed);
-        for text in texts(&lived).into_iter().flatten().filter(|text| !text.is_empty()) {
-            let numbers: Vec<u32> = text
-                .split('\n')
-                .map(|event| event[1..].parse().expect("an event's number"))
-                .collect();
+        let (original, _) = random_history(seed);
+        for text in texts(&original).into_iter().flatten().filter(|text| !text.is_empty()) {
+            let numbers: Vec<u32> =
+                text.split('\n').map(|event| event[1..].parse().expect("event number")).collect();
             let expected: Vec<u32> = (1..).take(numbers.len()).collect();
             assert_eq!(numbers, expected, "seed {seed}");
         }
--- a/crates/xtask/src/ablate.rs
+++ b/crates/xtask/src/ablate.rs
@@ -57,8 +57,8 @@
         without: "a reward call is made at one target at a time",
         edit: SourceEdit {
             file: "crates/jobs/src/reward_plan.rs",
-            from: "const MOST_AT_ONCE: u32 = 3;",
-            to: "const MOST_AT_ONCE: u32 = 1;",
+            from: "const MAX_CALLS: u32 = 3;",
+            to: "const MAX_CALLS: u32 = 1;",
         },
     },
     Ablation {
@@ -93,8 +93,8 @@
         without: "items start job by job, whatever their length",
         edit: SourceEdit {
             file: "crates/jobs/src/order.rs",
-            from: "as_secs_f64() * 1_000.0 - text",
-            to: "as_secs_f64() * 1_000.0 - text * 0.0",
+            from: "as_secs_f64() * 1_000.0 - text_millis",
+            to: "as_secs_f64() * 1_000.0 - text_millis * 0.0",
         },
     },
     Ablation {
@@ -155,9 +155,9 @@
         name: "carried-text",
         without: "text that an earlier job has left over is made again",
         edit: SourceEdit {
-            file: "crates/jobs/src/book.rs",
-            from: "        let holder = self.holders.get(item)?;",
-            to: "        let holder = self.holders.get(item).filter(|_| false)?;",
+            file: "crates/jobs/src/table.rs",
+            from: "        let latest = self.latest_refs.get(item)?;",
+            to: "        let latest = self.latest_refs.get(item).filter(|_| false)?;",
         },
     },
     Ablation {
