--- a/crates/bench/src/decisions.rs
+++ b/crates/bench/src/decisions.rs
@@ -129,7 +129,7 @@
             let Some(work) = ledger.assign() else { break };
             ledger.finished(work.attempt, sample(work.slot, engine));
         }
-        let pull = Pull { held: held.clone(), seen: token, most: 256 };
+        let pull = Pull { held: held.clone(), seen: token, max_samples: 256 };
         for sample in ledger.pull(&pull).expect("a good pull").samples {
             held.insert(sample.slot);
         }
--- a/crates/client/src/step.rs
+++ b/crates/client/src/step.rs
@@ -177,9 +177,9 @@
         // An answer under an older token came from a keeper that has been replaced: pull again.
         let Ok(intake) = taken else { return Ok(Vec::new()) };
         self.state = state;
-        self.idle.doubled += intake.doubled;
+        self.idle.doubled += intake.duplicates;
         self.idle.stale += intake.stale;
-        Ok(intake.taken)
+        Ok(intake.accepted)
     }
 
     /// The keeper changed and the new one does not know the step.
--- a/crates/gannetwayd/src/serve/step.rs
+++ b/crates/gannetwayd/src/serve/step.rs
@@ -210,7 +210,7 @@
 async fn pull_when_ready(served: &Served<'_>, pull: peer::PullStep) -> Answer<Pulled> {
     let (handle, step, seen) = keeper(served, pull.step.as_ref())?;
     let most = usize::try_from(pull.max_samples).unwrap_or(MOST_SAMPLES).clamp(1, MOST_SAMPLES);
-    let pull_of = Pull { held: SlotSet::from_bytes(pull.held), seen, most };
+    let pull_of = Pull { held: SlotSet::from_bytes(pull.held), seen, max_samples: most };
     let mut changes = handle.changes.clone();
     let wait = Duration::from_millis(pull.wait_ms);
     let wait = wait.min(served.time_left.saturating_sub(ANSWER_TIME));
--- a/crates/jobs/src/item.rs
+++ b/crates/jobs/src/item.rs
@@ -224,7 +224,7 @@
         self.score = None;
     }
 
-    /// Whether the job allows a sample made by these versions.
+    /// Whether the job allows a sample with these versions.
     pub(crate) fn versions_fit(versions: &[u64], job: &Job) -> bool {
         let fresh = versions.iter().all(|version| *version >= job.min_version);
         fresh && (!job.single_version || versions.iter().all(|version| *version == versions[0]))
--- a/crates/keeping/src/keeper.rs
+++ b/crates/keeping/src/keeper.rs
@@ -199,7 +199,7 @@
             None => StepLedger::open(spec, token, rule)?,
         };
         // A pull of nothing notes what the trainer holds.
-        ledger.pull(&Pull { held: held.clone(), seen, most: 0 })?;
+        ledger.pull(&Pull { held: held.clone(), seen, max_samples: 0 })?;
         if self.steps.len() >= MOST_STEPS {
             return Err(KeeperRefusal::TooManySteps { open: self.steps.len() });
         }
--- a/crates/keeping/tests/keeper.rs
+++ b/crates/keeping/tests/keeper.rs
@@ -53,7 +53,7 @@
 }
 
 fn pull(seen: u64) -> Pull {
-    Pull { held: SlotSet::default(), seen: FencingToken::new(seen), most: 4 }
+    Pull { held: SlotSet::default(), seen: FencingToken::new(seen), max_samples: 4 }
 }
 
 fn held_by_other(token: u64, version: u64) -> ReadOutcome {
--- a/crates/ledger/src/trail.rs
+++ b/crates/ledger/src/chunks.rs
@@ -1,61 +1,61 @@
-//! Gathers an engine's stamps into version spans, and refuses what cannot be attributed.
+//! Assembles the chunks of an engine's response into a text with version spans.
 //!
-//! A sample's versions are the engine's own stamps on each chunk, never what an order was
-//! meant to do. A missing or contradictory stamp makes the whole answer unusable.
+//! The versions of a sample come from the engine's stamp on each chunk, never from the order that
+//! loaded the weights. A missing or inconsistent stamp makes the response unusable.
 
 use ids::{ContentDigest, DigestWriter, Incarnation, ModelVersion, TokenCount};
 
 use crate::VersionSpan;
 
-/// The engine's stamp on one chunk.
+/// Stamp of the engine on one chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ChunkStamp {
-    /// Position of the chunk in the stream, from zero.
+    /// Index of the chunk in the stream, from zero.
     pub index: u32,
-    /// Tokens in the chunk.
+    /// Number of tokens in the chunk.
     pub tokens: TokenCount,
-    /// The version that made them; `None` when the engine left the stamp out.
+    /// Version that generated them; `None` if the stamp is missing.
     pub version: Option<ModelVersion>,
-    /// Which life of the engine made them.
+    /// Incarnation of the engine that generated them.
     pub incarnation: Incarnation,
 }
 
-/// Why an answer cannot be used; it is made again.
+/// Why a response is unusable. The sample is generated again.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ChunkError {
-    /// A chunk without a version.
-    #[error("chunk {index} has no version stamp: the sample is made again")]
+    /// A chunk has no version stamp.
+    #[error("chunk {index} has no version stamp: the sample will be generated again")]
     MissingStamp {
-        /// The chunk.
+        /// Index of the chunk.
         index: u32,
     },
-    /// A chunk lost, doubled or out of order.
-    #[error("chunk {found} came where {expected} was due: the sample is made again")]
+    /// A chunk is lost, duplicated or out of order.
+    #[error("received chunk {found} instead of {expected}: the sample will be generated again")]
     OutOfOrder {
-        /// The chunk due.
+        /// Index of the expected chunk.
         expected: u32,
-        /// The chunk that came.
+        /// Index of the received chunk.
         found: u32,
     },
-    /// Chunks of two lives of the engine in one stream.
-    #[error("the engine's incarnation changed in mid-stream: the sample is made again")]
-    MixedLives,
-    /// The end does not match what came.
+    /// One stream has chunks from two incarnations of the engine.
+    #[error("the engine's incarnation changed in mid-stream: the sample will be generated again")]
+    MixedIncarnations,
+    /// The token count or digest at the end does not match the received chunks.
     #[error(
-        "the end states {stated} tokens and other content than the {came} that came: the sample is made again"
+        "the end of the response ({stated} tokens) does not match the received content ({received} tokens): the sample will be generated again"
     )]
-    WrongEnd {
-        /// Tokens the end states.
+    EndMismatch {
+        /// Number of tokens stated at the end.
         stated: TokenCount,
-        /// Tokens that came.
-        came: TokenCount,
+        /// Number of tokens received.
+        received: TokenCount,
     },
-    /// The end came before any chunk.
-    #[error("the answer is empty: the sample is made again")]
+    /// The response ended without any chunk.
+    #[error("the response is empty: the sample will be generated again")]
     Empty,
 }
 
-/// The stamps and text of one stream, as far as it came.
+/// Stamps and text received so far from one stream.
 #[derive(Debug, Default)]
 pub struct ChunkAssembler {
     spans: Vec<VersionSpan>,
@@ -67,7 +67,11 @@
 }
 
 impl ChunkAssembler {
-    /// Takes the next chunk.
+    /// Adds the next chunk.
+    ///
+    /// # Errors
+    ///
+    /// The chunk is out of order, has no version, or is from another incarnation of the engine.
     pub fn chunk(&mut self, stamp: ChunkStamp, text: &str) -> Result<(), ChunkError> {
         if stamp.index != self.next_index {
             return Err(ChunkError::OutOfOrder { expected: self.next_index, found: stamp.index });
@@ -76,23 +80,27 @@
             return Err(ChunkError::MissingStamp { index: stamp.index });
         };
         if self.incarnation.is_some_and(|first| first != stamp.incarnation) {
-            return Err(ChunkError::MixedLives);
+            return Err(ChunkError::MixedIncarnations);
         }
         self.incarnation = Some(stamp.incarnation);
         self.next_index += 1;
         self.tokens = self.tokens.saturating_add(stamp.tokens.get());
         self.text.push_str(text);
         self.digest.update(text.as_bytes());
-        self.extend(version, stamp.tokens);
+        self.extend_spans(version, stamp.tokens);
         Ok(())
     }
 
-    /// The oldest version stamped so far.
+    /// Returns the oldest version received so far.
     pub fn oldest(&self) -> Option<ModelVersion> {
         self.spans.iter().map(|span| span.version).min()
     }
 
-    /// Checks the explicit end; gives the spans and the text.
+    /// Checks the end of the stream; returns the spans and the text.
+    ///
+    /// # Errors
+    ///
+    /// No chunk was received, or the token count or digest doesn't match.
     pub fn finish(
         self,
         tokens: TokenCount,
@@ -102,15 +110,15 @@
             return Err(ChunkError::Empty);
         }
         if tokens.get() != self.tokens || digest != self.digest.digest() {
-            return Err(ChunkError::WrongEnd {
+            return Err(ChunkError::EndMismatch {
                 stated: tokens,
-                came: TokenCount::new(self.tokens),
+                received: TokenCount::new(self.tokens),
             });
         }
         Ok((self.spans, self.text))
     }
 
-    fn extend(&mut self, version: ModelVersion, tokens: TokenCount) {
+    fn extend_spans(&mut self, version: ModelVersion, tokens: TokenCount) {
         if let Some(last) = self.spans.last_mut()
             && last.version == version
         {
--- a/crates/ledger/src/naming.rs
+++ b/crates/ledger/src/naming.rs
@@ -1,24 +1,24 @@
-//! Which version is named: by the pool's configuration, and by the trainer itself.
+//! The named weight version, set by the pool's configuration and by the trainer.
 //!
-//! The trainer's word only rises. The pool's follows its configuration generations, so an
-//! operator may roll a bad version back; a lower generation never counts. The newer of the two
-//! is the version named, and the staleness bound counts back from it.
+//! The trainer's version never decreases. The pool's version follows the configuration generation,
+//! so an operator can roll back a bad version; older generations are ignored. The newer of the two
+//! versions is the named one, and the staleness bound counts back from it.
 
 use ids::{Generation, ModelVersion, VersionWindow};
 use serde::{Deserialize, Serialize};
 
-/// What one generation of the configuration says of a pool's versions.
+/// Version rule of a pool in one generation of the configuration.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolRule {
-    /// The generation.
+    /// Configuration generation.
     pub generation: Generation,
-    /// The version it names.
+    /// Version named by the configuration.
     pub version: ModelVersion,
-    /// How many versions older than named a sample may be.
+    /// Staleness bound: number of versions that a sample may lag behind the named one.
     pub bound: u32,
 }
 
-/// What is named now.
+/// State that determines the named version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionNaming {
     trainer: ModelVersion,
@@ -26,34 +26,35 @@
 }
 
 impl VersionNaming {
-    /// The trainer names a version; the pool's rule may not be known yet.
+    /// Creates the state from the trainer's version and the pool's rule. Use the default rule while
+    /// the pool's is unknown.
     pub const fn new(trainer: ModelVersion, rule: PoolRule) -> Self {
         Self { trainer, rule }
     }
 
-    /// The trainer names a version; an older one changes nothing.
+    /// Sets the trainer's version; an older one is ignored.
     pub fn set_trainer_version(&mut self, version: ModelVersion) {
         self.trainer = self.trainer.max(version);
     }
 
-    /// The configuration names a version; an older generation changes nothing.
+    /// Sets the pool's rule; an older generation is ignored.
     pub fn set_pool_rule(&mut self, rule: PoolRule) {
         if rule.generation >= self.rule.generation {
             self.rule = rule;
         }
     }
 
-    /// The rule in force.
+    /// Returns the pool's current rule.
     pub const fn rule(&self) -> PoolRule {
         self.rule
     }
 
-    /// The version named.
+    /// Returns the named version.
     pub fn named(&self) -> ModelVersion {
         self.trainer.max(self.rule.version)
     }
 
-    /// Versions that a sample may be made of.
+    /// Returns the versions allowed in a sample.
     pub fn window(&self) -> VersionWindow {
         VersionWindow::new(self.named(), self.rule.bound)
     }
--- a/crates/ledger/src/intake.rs
+++ b/crates/ledger/src/receiver.rs
@@ -1,35 +1,35 @@
-//! The trainer's end of a step: takes each sample once, and only if it is fresh.
+//! The trainer's side of a step: accepts each sample once, and only if it is fresh.
 //!
-//! This is the arbiter behind single delivery. Whatever boxes do, a slot is taken once; an
-//! answer under a lower fencing token than one seen is refused whole; and freshness is checked
-//! again against the version the trainer itself knows.
+//! This check guarantees single delivery, whatever the boxes send. Each slot is accepted once, a
+//! response with a lower fencing token than the highest seen is refused, and freshness is checked
+//! again against the trainer's own version.
 
 use ids::{FencingToken, ModelVersion, VersionWindow};
 
 use crate::{PoolRule, Sample, SlotSet, StepSpec, VersionNaming};
 
-/// What an answer to a pull brought.
+/// Outcome of accepting a pull's response.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ReceivedBatch {
-    /// Samples taken, to train on.
-    pub taken: Vec<Sample>,
-    /// Samples of slots held already, dropped.
-    pub doubled: usize,
-    /// Samples too old by now, dropped; they are asked for again.
+    /// Samples accepted, to train on.
+    pub accepted: Vec<Sample>,
+    /// Number of dropped samples whose slots were already held.
+    pub duplicates: usize,
+    /// Number of dropped samples that were too old; their slots are requested again.
     pub stale: usize,
-    /// Samples of slots that the step does not have, dropped.
-    pub foreign: usize,
+    /// Number of dropped samples whose slots are not in the step.
+    pub unknown_slots: usize,
 }
 
-/// Why a whole answer was refused.
+/// The response has a lower fencing token than the highest seen.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("the answer bears token {token}, and {seen} has been seen: pull again")]
+#[error("the response has token {token}, but {seen} was already seen: pull again")]
 pub struct OldToken {
     token: FencingToken,
     seen: FencingToken,
 }
 
-/// The trainer's record of one step.
+/// The trainer's state of one step.
 #[derive(Debug, Clone)]
 pub struct StepReceiver {
     spec: StepSpec,
@@ -40,34 +40,34 @@
 }
 
 impl StepReceiver {
-    /// The record of a step that holds nothing yet.
+    /// Creates the state of a step without held slots.
     pub fn new(spec: StepSpec) -> Self {
         let naming = VersionNaming::new(spec.version, PoolRule::default());
         let slots = spec.slots();
         Self { spec, slots, held: SlotSet::default(), seen: FencingToken::default(), naming }
     }
 
-    /// The step.
+    /// Returns the step as opened.
     pub const fn spec(&self) -> &StepSpec {
         &self.spec
     }
 
-    /// Slots held.
+    /// Returns the slots held.
     pub const fn held(&self) -> &SlotSet {
         &self.held
     }
 
-    /// Highest fencing token seen.
+    /// Returns the highest fencing token seen.
     pub const fn seen(&self) -> FencingToken {
         self.seen
     }
 
-    /// The version now named.
+    /// Returns the version named now.
     pub fn named(&self) -> ModelVersion {
         self.naming.named()
     }
 
-    /// Versions that a sample taken now may be made of.
+    /// Returns the versions allowed in a sample accepted now.
     pub fn window(&self) -> VersionWindow {
         self.naming.window()
     }
@@ -77,13 +77,18 @@
         self.held.len() == self.slots
     }
 
-    /// Names a newer version; answers made of older ones are refused from now on.
+    /// Names a newer version. Samples older than the staleness bound allows are dropped from now
+    /// on.
     pub fn advance(&mut self, version: ModelVersion) {
         self.naming.set_trainer_version(version);
     }
 
-    /// Takes a keeper's word of its token and the pool's rule, and the samples of an answer. A
-    /// rule of an older generation than one heard before is not believed.
+    /// Accepts the samples of a response and applies the keeper's token and pool rule. A rule of an
+    /// older generation than the current one is ignored.
+    ///
+    /// # Errors
+    ///
+    /// The token is lower than the highest seen; nothing is accepted.
     pub fn accept(
         &mut self,
         token: FencingToken,
@@ -96,19 +101,19 @@
         self.seen = token;
         self.naming.set_pool_rule(rule);
         let window = self.window();
-        let mut intake = ReceivedBatch::default();
+        let mut batch = ReceivedBatch::default();
         for sample in samples {
             if sample.slot.as_usize() >= self.slots {
-                intake.foreign += 1;
+                batch.unknown_slots += 1;
             } else if self.held.contains(sample.slot) {
-                intake.doubled += 1;
+                batch.duplicates += 1;
             } else if sample.spans.is_empty() || window.is_too_old(sample.oldest()) {
-                intake.stale += 1;
+                batch.stale += 1;
             } else {
                 self.held.insert(sample.slot);
-                intake.taken.push(sample);
+                batch.accepted.push(sample);
             }
         }
-        Ok(intake)
+        Ok(batch)
     }
 }
--- a/crates/ledger/src/slots.rs
+++ b/crates/ledger/src/slots.rs
@@ -1,4 +1,4 @@
-//! A set of slots as a bitmap: 1 KiB for a step of 8,192.
+//! A set of slots, stored as a bitmap with one bit per slot.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,10 +8,10 @@
 
 const BITS: usize = 8;
 
-/// Why a bitmap was refused.
+/// A slot bitmap is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum SlotSetError {
-    /// Not pairs of hexadecimal digits.
+    /// The text is not made of pairs of hexadecimal digits.
     #[error("the slot bitmap is not hexadecimal: send two digits per eight slots, slot 0 first")]
     NotHex,
 }
@@ -24,36 +24,36 @@
 }
 
 impl SlotSet {
-    /// The set stored in `bits`, slot 0 in the lowest bit of the first byte.
+    /// Creates a set from a bitmap; slot 0 is the lowest bit of the first byte.
     pub fn from_bytes(bits: Vec<u8>) -> Self {
         let mut set = Self { bits };
         set.trim();
         set
     }
 
-    /// The bitmap's bytes, without trailing zeros.
+    /// Returns the bitmap, without trailing zero bytes.
     pub fn as_bytes(&self) -> &[u8] {
         &self.bits
     }
 
-    /// Adds a slot; `false` when it was there already.
+    /// Adds a slot. Returns `false` if the set already contained it.
     pub fn insert(&mut self, slot: SlotIndex) -> bool {
-        let (byte, mask) = place(slot);
+        let (byte, mask) = bit_position(slot);
         if byte >= self.bits.len() {
             self.bits.resize(byte + 1, 0);
         }
-        let fresh = self.bits[byte] & mask == 0;
+        let is_new = self.bits[byte] & mask == 0;
         self.bits[byte] |= mask;
-        fresh
+        is_new
     }
 
     /// Whether the slot is in the set.
     pub fn contains(&self, slot: SlotIndex) -> bool {
-        let (byte, mask) = place(slot);
+        let (byte, mask) = bit_position(slot);
         self.bits.get(byte).is_some_and(|bits| bits & mask != 0)
     }
 
-    /// Number of slots in the set.
+    /// Returns the number of slots in the set.
     pub fn len(&self) -> usize {
         self.bits.iter().map(|bits| bits.count_ones() as usize).sum()
     }
@@ -63,7 +63,7 @@
         self.bits.iter().all(|bits| *bits == 0)
     }
 
-    /// The slots in the set, lowest first.
+    /// Iterates over the slots in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = SlotIndex> {
         let all = u32::try_from(self.bits.len() * BITS).unwrap_or(u32::MAX);
         (0..all).map(SlotIndex::new).filter(|slot| self.contains(*slot))
@@ -76,7 +76,8 @@
     }
 }
 
-fn place(slot: SlotIndex) -> (usize, u8) {
+/// Returns the byte index and the bit mask of a slot.
+fn bit_position(slot: SlotIndex) -> (usize, u8) {
     (slot.as_usize() / BITS, 1 << (slot.as_usize() % BITS))
 }
 
--- a/crates/ledger/src/spec.rs
+++ b/crates/ledger/src/spec.rs
@@ -1,23 +1,23 @@
-//! What a trainer asks for in one step.
+//! Specification of a step, as sent by its trainer.
 
 use std::sync::Arc;
 
 use ids::{ContentDigest, DigestWriter, ModelVersion, SlotIndex, StepNumber, TokenCount};
 use serde::{Deserialize, Serialize};
 
-/// Most slots in one step; four times the two-year size, and still a 4 KiB bitmap.
+/// Maximum number of slots in one step.
 const MAX_SLOTS: usize = 32_768;
-/// Longest prompt, in bytes.
+/// Maximum length of a prompt, in bytes.
 const MAX_PROMPT: usize = 65_536;
 
-/// Samples wanted of one prompt.
+/// Samples requested for one prompt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupSpec {
     /// The prompt, shared by the group.
     pub prompt: Arc<str>,
-    /// Samples in the group.
+    /// Number of samples in the group.
     pub samples: u16,
-    /// Longest answer allowed, in tokens.
+    /// Maximum length of a generated text, in tokens.
     pub max_tokens: TokenCount,
 }
 
@@ -26,48 +26,50 @@
 pub struct StepSpec {
     /// The step's number.
     pub step: StepNumber,
-    /// The weight version the trainer names at the start.
+    /// Weight version that the trainer names when it opens the step.
     pub version: ModelVersion,
-    /// The groups; slots are numbered through them in order.
+    /// The groups; slots are numbered consecutively across them.
     pub groups: Vec<GroupSpec>,
 }
 
-/// Why a step was refused.
+/// Why a step specification is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SpecError {
-    /// Nothing asked for.
-    #[error("the step asks for no samples: give at least one group with at least one sample")]
+    /// The step requests no samples.
+    #[error("the step requests no samples: add at least one group with at least one sample")]
     Empty,
-    /// Too many slots.
-    #[error("the step asks for {asked} samples, more than {MAX_SLOTS}: split it into steps")]
+    /// The step requests too many samples.
+    #[error(
+        "the step requests {requested} samples, more than {MAX_SLOTS}: split it into several steps"
+    )]
     TooLarge {
-        /// Samples asked for.
-        asked: usize,
+        /// Number of samples requested.
+        requested: usize,
     },
-    /// A group no engine could answer.
+    /// A group is invalid.
     #[error("group {group}: {fault}")]
     BadGroup {
-        /// Position of the group.
+        /// Index of the group.
         group: usize,
-        /// What is wrong and how to mend it.
+        /// What is wrong and how to fix it.
         fault: &'static str,
     },
 }
 
 impl StepSpec {
-    /// Number of slots.
+    /// Returns the number of slots.
     pub fn slots(&self) -> usize {
         self.groups.iter().map(|group| usize::from(group.samples)).sum()
     }
 
-    /// Refuses a step that could never be filled.
+    /// Returns an error if the step is empty, too large, or has an invalid group.
     pub fn check(&self) -> Result<(), SpecError> {
-        let asked = self.slots();
-        if asked == 0 {
+        let requested = self.slots();
+        if requested == 0 {
             return Err(SpecError::Empty);
         }
-        if asked > MAX_SLOTS {
-            return Err(SpecError::TooLarge { asked });
+        if requested > MAX_SLOTS {
+            return Err(SpecError::TooLarge { requested });
         }
         for (group, spec) in self.groups.iter().enumerate() {
             spec.check().map_err(|fault| SpecError::BadGroup { group, fault })?;
@@ -75,7 +77,7 @@
         Ok(())
     }
 
-    /// Digest of the whole body; tells a repeated open from a conflicting one.
+    /// Returns the digest of the full body, to tell a repeated open from a conflicting one.
     pub fn digest(&self) -> ContentDigest {
         let mut writer = DigestWriter::default();
         writer.update(&self.step.get().to_le_bytes());
@@ -89,7 +91,7 @@
         writer.digest()
     }
 
-    /// The group of each slot, in slot order.
+    /// Returns the group index of each slot, in slot order.
     pub(crate) fn group_of_slots(&self) -> Vec<u32> {
         let mut groups = Vec::with_capacity(self.slots());
         for (index, group) in self.groups.iter().enumerate() {
@@ -99,7 +101,7 @@
         groups
     }
 
-    /// All slot indexes.
+    /// Iterates over all slots.
     pub fn slot_indexes(&self) -> impl Iterator<Item = SlotIndex> {
         (0..u32::try_from(self.slots()).unwrap_or(u32::MAX)).map(SlotIndex::new)
     }
@@ -108,7 +110,7 @@
 impl GroupSpec {
     fn check(&self) -> Result<(), &'static str> {
         if self.samples == 0 {
-            return Err("`samples` is 0: ask for at least one");
+            return Err("`samples` is 0: request at least one");
         }
         if self.max_tokens.get() == 0 {
             return Err("`max_tokens` is 0: allow at least one token");
--- a/crates/ledger/src/step.rs
+++ b/crates/ledger/src/step.rs
@@ -1,4 +1,4 @@
-//! The state of one step: which slots want, make, wait for pick-up, or are held.
+//! State of one step: the state of each slot, from unassigned to held by the trainer.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -10,26 +10,31 @@
     SlotSet, StepSnapshot, StepSpec, VersionNaming, WaitCause,
 };
 
+/// State of a slot.
 #[derive(Debug, Clone)]
 enum Slot {
+    /// Needs an attempt.
     Wanted,
     Running(AttemptId),
-    /// Made, never handed out.
+    /// The sample is finished and was not returned by a pull yet.
     Ready(Arc<Sample>),
-    /// Handed out at least once: a repeated pull gets the same sample.
+    /// The sample was returned by a pull; a repeated pull returns the same sample.
     Frozen(Arc<Sample>),
+    /// The trainer holds the sample.
     Held,
 }
 
-/// The ledger.
+/// Ledger of one step.
 #[derive(Debug, Clone)]
 pub struct StepLedger {
     spec: StepSpec,
     token: FencingToken,
     naming: VersionNaming,
-    group_of: Vec<u32>,
+    group_by_slot: Vec<u32>,
     slots: Vec<Slot>,
+    /// Slots to assign; may contain slots that are no longer wanted.
     wanted: VecDeque<SlotIndex>,
+    /// Slots that are ready or frozen.
     deliverable: BTreeSet<SlotIndex>,
     held: usize,
     running: usize,
@@ -39,14 +44,18 @@
 }
 
 impl StepLedger {
-    /// Opens a step under `token` and the pool's rule.
+    /// Opens a step with the keeper's fencing token and the pool's rule.
+    ///
+    /// # Errors
+    ///
+    /// The specification is invalid.
     pub fn open(spec: StepSpec, token: FencingToken, rule: PoolRule) -> Result<Self, LedgerError> {
         spec.check()?;
         let count = spec.slots();
         Ok(Self {
             token,
             naming: VersionNaming::new(spec.version, rule),
-            group_of: spec.group_of_slots(),
+            group_by_slot: spec.group_of_slots(),
             slots: vec![Slot::Wanted; count],
             wanted: spec.slot_indexes().collect(),
             deliverable: BTreeSet::new(),
@@ -59,7 +68,11 @@
         })
     }
 
-    /// Goes on from a predecessor's snapshot under a new token.
+    /// Restores a step from a predecessor's snapshot with a new token.
+    ///
+    /// # Errors
+    ///
+    /// The specification is invalid, or a held slot is not in the step.
     pub fn resume(
         snapshot: StepSnapshot,
         token: FencingToken,
@@ -68,7 +81,7 @@
         let mut ledger = Self::open(snapshot.spec, token, snapshot.naming.rule())?;
         ledger.naming = snapshot.naming;
         ledger.naming.set_pool_rule(rule);
-        ledger.hold(&snapshot.held)?;
+        ledger.mark_held(&snapshot.held)?;
         for sample in snapshot.samples {
             let frozen = snapshot.frozen.contains(sample.slot);
             ledger.restore(sample, frozen);
@@ -76,17 +89,21 @@
         Ok(ledger)
     }
 
-    /// The step as opened.
+    /// Returns the step as opened.
     pub const fn spec(&self) -> &StepSpec {
         &self.spec
     }
 
-    /// The ledger's fencing token.
+    /// Returns the ledger's fencing token.
     pub const fn token(&self) -> FencingToken {
         self.token
     }
 
-    /// Takes a repeated open: the same body is the same step, another body a conflict.
+    /// Checks a repeated open.
+    ///
+    /// # Errors
+    ///
+    /// The body differs from the first one.
     pub fn reopen(&self, spec: &StepSpec) -> Result<(), LedgerError> {
         if spec.digest() == self.spec.digest() {
             return Ok(());
@@ -94,24 +111,24 @@
         Err(LedgerError::OtherBody { step: self.spec.step })
     }
 
-    /// The versions a sample may now be made of.
+    /// Returns the versions allowed in a sample now.
     pub fn window(&self) -> VersionWindow {
         self.naming.window()
     }
 
-    /// The pool's rule in force.
+    /// Returns the pool's current rule.
     pub const fn rule(&self) -> PoolRule {
         self.naming.rule()
     }
 
-    /// The next slot to fill, if any is wanted.
+    /// Assigns the next wanted slot, if any, to a new attempt.
     pub fn assign(&mut self) -> Option<Assignment> {
         let slot = self.next_wanted()?;
         self.attempts += 1;
         let attempt = AttemptId(self.attempts);
         self.slots[slot.as_usize()] = Slot::Running(attempt);
         self.running += 1;
-        let group = self.group_of[slot.as_usize()];
+        let group = self.group_by_slot[slot.as_usize()];
         let spec = &self.spec.groups[group as usize];
         Some(Assignment {
             slot,
@@ -123,14 +140,14 @@
         })
     }
 
-    /// Takes the sample of an attempt.
+    /// Handles the sample of a finished attempt.
     pub fn finished(&mut self, attempt: AttemptId, sample: Sample) -> Settled {
         let slot = sample.slot;
         if !self.is_running(slot, attempt) {
             return Settled::Superseded;
         }
         if self.window().is_too_old(sample.oldest()) {
-            self.want_again(slot);
+            self.requeue_slot(slot);
             return Settled::TooOld;
         }
         self.running -= 1;
@@ -140,85 +157,92 @@
         Settled::Kept
     }
 
-    /// Notes that an attempt came to nothing; `wasted` when an engine had worked on it.
+    /// Handles a failed attempt. `wasted` says that an engine had worked on it, which counts as a
+    /// discarded sample.
     pub fn failed(&mut self, slot: SlotIndex, attempt: AttemptId, wasted: bool) {
         if !self.is_running(slot, attempt) {
             return;
         }
         self.running -= 1;
         self.slots[slot.as_usize()] = Slot::Wanted;
-        // First in line: its siblings are already under way.
+        // First in the queue, because the other samples of its group are already in progress.
         self.wanted.push_front(slot);
         self.discarded += u64::from(wasted);
     }
 
-    /// The trainer names a version; samples that became too old are wanted again.
+    /// Sets the trainer's version and discards samples that are now too old.
     pub fn set_trainer_version(&mut self, version: ModelVersion) {
         self.naming.set_trainer_version(version);
-        self.discard_old();
+        self.discard_stale();
     }
 
-    /// The configuration names a version; samples that became too old are wanted again.
+    /// Sets the pool's rule and discards samples that are now too old.
     pub fn set_pool_rule(&mut self, rule: PoolRule) {
         self.naming.set_pool_rule(rule);
-        self.discard_old();
+        self.discard_stale();
     }
 
-    fn discard_old(&mut self) {
+    fn discard_stale(&mut self) {
         let window = self.window();
-        self.make_again(|sample| window.is_too_old(sample.oldest()));
+        self.discard_where(|sample| window.is_too_old(sample.oldest()));
     }
 
-    /// Whether samples wait for a version that is not named yet.
+    /// Whether any finished sample is newer than the named version.
     pub fn has_ahead(&self) -> bool {
         let window = self.window();
         let mut waiting = self.deliverable.iter().filter_map(|slot| self.sample(*slot));
         waiting.any(|sample| window.is_ahead(sample.newest()))
     }
 
-    /// Makes samples of versions that were never named again: an engine may come back with a
-    /// version of its own.
+    /// Discards samples that are newer than the named version. A restarted engine may generate with
+    /// a version that is never named.
     pub fn discard_ahead(&mut self) {
         let window = self.window();
-        self.make_again(|sample| window.is_ahead(sample.newest()));
+        self.discard_where(|sample| window.is_ahead(sample.newest()));
     }
 
-    fn make_again(&mut self, unfit: impl Fn(&Sample) -> bool) {
+    /// Discards the matching samples and queues their slots again.
+    fn discard_where(&mut self, should_discard: impl Fn(&Sample) -> bool) {
         let slots: Vec<SlotIndex> = self
             .deliverable
             .iter()
             .copied()
-            .filter(|slot| self.sample(*slot).is_some_and(&unfit))
+            .filter(|slot| self.sample(*slot).is_some_and(&should_discard))
             .collect();
         for slot in slots {
-            self.no_longer_waiting(slot);
+            self.remove_deliverable(slot);
             self.slots[slot.as_usize()] = Slot::Wanted;
             self.wanted.push_front(slot);
             self.discarded += 1;
         }
     }
 
-    /// Takes a pull: notes what the trainer holds, then hands out fresh samples.
+    /// Handles a pull: records the slots that the trainer holds, then returns finished samples that
+    /// are not newer than the named version.
+    ///
+    /// # Errors
+    ///
+    /// The trainer has seen a higher token, or a held slot is not in the step.
     pub fn pull(&mut self, pull: &Pull) -> Result<PulledBatch, LedgerError> {
         if pull.seen > self.token {
             return Err(LedgerError::Superseded { mine: self.token, seen: pull.seen });
         }
-        self.hold(&pull.held)?;
+        self.mark_held(&pull.held)?;
         let window = self.window();
-        let out: Vec<SlotIndex> = self
+        let slots: Vec<SlotIndex> = self
             .deliverable
             .iter()
             .copied()
             .filter(|slot| {
                 self.sample(*slot).is_some_and(|sample| !window.is_ahead(sample.newest()))
             })
-            .take(pull.most)
+            .take(pull.max_samples)
             .collect();
-        let samples = out.into_iter().filter_map(|slot| self.freeze(slot)).collect();
+        let samples = slots.into_iter().filter_map(|slot| self.freeze(slot)).collect();
         Ok(PulledBatch { samples, progress: self.progress() })
     }
 
-    /// Whether a slot wants an attempt.
+    /// Whether any slot needs an attempt.
     pub fn has_wanted(&self) -> bool {
         self.wanted.iter().any(|slot| matches!(self.slots[slot.as_usize()], Slot::Wanted))
     }
@@ -228,19 +252,19 @@
         self.held == self.slots.len()
     }
 
-    /// Whether a pull would get a sample now.
+    /// Whether a pull would return a sample now.
     pub fn has_deliverable(&self) -> bool {
         let window = self.window();
         let mut waiting = self.deliverable.iter().filter_map(|slot| self.sample(*slot));
         waiting.any(|sample| !window.is_ahead(sample.newest()))
     }
 
-    /// Bytes of samples that wait for the trainer.
+    /// Returns the text size of the samples that wait for the trainer, in bytes.
     pub const fn waiting_bytes(&self) -> usize {
         self.waiting_bytes
     }
 
-    /// Counts of the step's slots and why the trainer waits.
+    /// Returns the counts of the step's slots and why the trainer waits.
     pub fn progress(&self) -> Progress {
         let ready = self.deliverable.len();
         let wanted = self.slots.len() - self.held - self.running - ready;
@@ -251,11 +275,11 @@
             running: self.running,
             wanted,
             discarded: self.discarded,
-            cause: self.cause(wanted),
+            cause: self.wait_cause(wanted),
         }
     }
 
-    /// What a successor needs to go on.
+    /// Returns the state from which a successor can resume.
     pub fn snapshot(&self) -> StepSnapshot {
         let held = self.filter_slots(|slot| matches!(slot, Slot::Held));
         let frozen = self.filter_slots(|slot| matches!(slot, Slot::Frozen(_)));
@@ -264,13 +288,13 @@
         StepSnapshot { spec: self.spec.clone(), naming: self.naming, held, samples, frozen }
     }
 
-    /// Bytes the ledger keeps for a slot beside its sample.
+    /// Returns the memory per slot, without the sample, in bytes.
     pub const fn bytes_per_slot() -> usize {
-        // The slot, its group, and its place in the queue or the set of deliverable slots.
+        // The slot, its group, and its entries in the queue and the set of deliverable slots.
         size_of::<Slot>() + size_of::<u32>() + 2 * size_of::<SlotIndex>()
     }
 
-    fn cause(&self, wanted: usize) -> WaitCause {
+    fn wait_cause(&self, wanted: usize) -> WaitCause {
         if self.is_complete() {
             return WaitCause::Nothing;
         }
@@ -291,7 +315,7 @@
         slots.filter(|slot| keep(&self.slots[slot.as_usize()])).collect()
     }
 
-    /// Skips queue entries whose slot was filled or held since.
+    /// Returns the next wanted slot. Skips queue entries whose slot is no longer wanted.
     fn next_wanted(&mut self) -> Option<SlotIndex> {
         while let Some(slot) = self.wanted.pop_front() {
             if matches!(self.slots[slot.as_usize()], Slot::Wanted) {
@@ -305,7 +329,8 @@
         matches!(self.slots.get(slot.as_usize()), Some(Slot::Running(id)) if *id == attempt)
     }
 
-    fn want_again(&mut self, slot: SlotIndex) {
+    /// Queues a running slot again after its sample was discarded.
+    fn requeue_slot(&mut self, slot: SlotIndex) {
         self.running -= 1;
         self.slots[slot.as_usize()] = Slot::Wanted;
         self.wanted.push_front(slot);
@@ -319,6 +344,7 @@
         }
     }
 
+    /// Marks a sample as returned by a pull.
     fn freeze(&mut self, slot: SlotIndex) -> Option<Arc<Sample>> {
         let entry = self.slots.get_mut(slot.as_usize())?;
         let sample = match entry {
@@ -329,43 +355,44 @@
         Some(sample)
     }
 
-    fn hold(&mut self, held: &SlotSet) -> Result<(), LedgerError> {
+    fn mark_held(&mut self, held: &SlotSet) -> Result<(), LedgerError> {
         let step = self.spec.step;
         let count = self.slots.len();
         if let Some(slot) = held.iter().find(|slot| slot.as_usize() >= count) {
             return Err(LedgerError::NoSuchSlot { slot, step });
         }
         for slot in held.iter() {
-            self.hold_one(slot);
+            self.mark_slot_held(slot);
         }
         Ok(())
     }
 
-    fn hold_one(&mut self, slot: SlotIndex) {
+    fn mark_slot_held(&mut self, slot: SlotIndex) {
         match self.slots[slot.as_usize()] {
             Slot::Held => return,
             Slot::Running(_) => self.running -= 1,
-            Slot::Ready(_) | Slot::Frozen(_) => self.no_longer_waiting(slot),
+            Slot::Ready(_) | Slot::Frozen(_) => self.remove_deliverable(slot),
             Slot::Wanted => {}
         }
         self.slots[slot.as_usize()] = Slot::Held;
         self.held += 1;
     }
 
-    /// Takes a sample off those that wait for the trainer.
-    fn no_longer_waiting(&mut self, slot: SlotIndex) {
+    /// Removes a sample from those that wait for the trainer.
+    fn remove_deliverable(&mut self, slot: SlotIndex) {
         let bytes = self.sample(slot).map_or(0, |sample| sample.text.len());
         self.waiting_bytes -= bytes;
         self.deliverable.remove(&slot);
     }
 
+    /// Restores a sample from a snapshot, unless it is too old or its slot is already held.
     fn restore(&mut self, sample: Sample, frozen: bool) {
         let slot = sample.slot;
-        let fresh = !self.window().is_too_old(sample.oldest());
+        let is_fresh = !self.window().is_too_old(sample.oldest());
         let Some(entry) = self.slots.get_mut(slot.as_usize()) else {
             return;
         };
-        if !fresh || !matches!(entry, Slot::Wanted) {
+        if !is_fresh || !matches!(entry, Slot::Wanted) {
             return;
         }
         self.waiting_bytes += sample.text.len();
--- a/crates/ledger/tests/delivery.rs
+++ b/crates/ledger/tests/delivery.rs
@@ -1,4 +1,4 @@
-//! Single delivery: the ledger and the trainer's intake, each on its own.
+//! Single delivery: the ledger and the trainer's receiver, each tested on its own.
 
 use std::sync::Arc;
 
@@ -36,23 +36,26 @@
         version: ModelVersion::new(*version),
         tokens: TokenCount::new(8),
     });
-    let engine: TargetId = "engine-1".parse().expect("an id");
+    let engine: TargetId = "engine-1".parse().expect("valid target id");
     Sample { slot, spans: spans.collect(), text: text.to_owned(), score: None, engine }
 }
 
 fn pull(held: &SlotSet, seen: FencingToken) -> Pull {
-    Pull { held: held.clone(), seen, most: 100 }
+    Pull { held: held.clone(), seen, max_samples: 100 }
 }
 
 fn next(ledger: &mut StepLedger) -> Assignment {
-    ledger.assign().expect("a slot wants work")
+    ledger.assign().expect("a wanted slot")
 }
 
 #[test]
-fn a_repeated_pull_gets_the_identical_sample() {
+fn a_repeated_pull_returns_the_same_sample() {
     let mut ledger = open(1);
-    let work = next(&mut ledger);
-    assert_eq!(ledger.finished(work.attempt, sample(work.slot, &[1], "a")), Settled::Kept);
+    let assignment = next(&mut ledger);
+    assert_eq!(
+        ledger.finished(assignment.attempt, sample(assignment.slot, &[1], "a")),
+        Settled::Kept
+    );
     let first = ledger.pull(&pull(&SlotSet::default(), TOKEN)).expect("a pull");
     let again = ledger.pull(&pull(&SlotSet::default(), TOKEN)).expect("a pull");
     assert_eq!(first.samples, again.samples);
@@ -60,7 +63,7 @@
 }
 
 #[test]
-fn a_held_slot_is_never_made_again() {
+fn a_held_slot_is_not_assigned_again() {
     let mut ledger = open(1);
     let held: SlotSet = (0..8).map(SlotIndex::new).collect();
     ledger.pull(&pull(&held, TOKEN)).expect("a pull");
@@ -84,14 +87,14 @@
 }
 
 #[test]
-fn a_ledger_under_a_lower_token_refuses_to_answer() {
+fn a_ledger_with_a_lower_token_refuses_a_pull() {
     let mut ledger = open(1);
     let refused = ledger.pull(&pull(&SlotSet::default(), TOKEN.next()));
     assert!(matches!(refused, Err(LedgerError::Superseded { .. })));
 }
 
 #[test]
-fn the_same_body_is_the_same_step_and_another_a_conflict() {
+fn reopening_accepts_the_same_body_and_refuses_another() {
     let ledger = open(1);
     assert_eq!(ledger.reopen(&spec(1)), Ok(()));
     let mut other = spec(1);
@@ -108,30 +111,33 @@
 }
 
 #[test]
-fn a_sample_too_old_when_it_ends_is_made_again() {
+fn a_sample_too_old_when_it_ends_is_assigned_again() {
     let mut ledger = open(1);
-    let work = next(&mut ledger);
+    let assignment = next(&mut ledger);
     ledger.set_trainer_version(ModelVersion::new(3));
-    assert_eq!(ledger.finished(work.attempt, sample(work.slot, &[1, 3], "a")), Settled::TooOld);
-    assert_eq!(next(&mut ledger).slot, work.slot);
+    assert_eq!(
+        ledger.finished(assignment.attempt, sample(assignment.slot, &[1, 3], "a")),
+        Settled::TooOld
+    );
+    assert_eq!(next(&mut ledger).slot, assignment.slot);
 }
 
 #[test]
-fn a_waiting_sample_that_became_too_old_is_made_again() {
+fn a_ready_sample_that_became_too_old_is_assigned_again() {
     let mut ledger = open(1);
-    let work = next(&mut ledger);
-    ledger.finished(work.attempt, sample(work.slot, &[1], "a"));
+    let assignment = next(&mut ledger);
+    ledger.finished(assignment.attempt, sample(assignment.slot, &[1], "a"));
     ledger.set_pool_rule(rule(2, 3));
-    let out = ledger.pull(&pull(&SlotSet::default(), TOKEN)).expect("a pull");
-    assert!(out.samples.is_empty());
-    assert_eq!(next(&mut ledger).slot, work.slot);
+    let batch = ledger.pull(&pull(&SlotSet::default(), TOKEN)).expect("a pull");
+    assert!(batch.samples.is_empty());
+    assert_eq!(next(&mut ledger).slot, assignment.slot);
 }
 
 #[test]
-fn a_sample_ahead_of_the_named_version_waits_for_it() {
+fn a_sample_ahead_of_the_named_version_is_not_delivered() {
     let mut ledger = open(1);
-    let work = next(&mut ledger);
-    ledger.finished(work.attempt, sample(work.slot, &[1, 2], "a"));
+    let assignment = next(&mut ledger);
+    ledger.finished(assignment.attempt, sample(assignment.slot, &[1, 2], "a"));
     let held = SlotSet::default();
     assert!(ledger.pull(&pull(&held, TOKEN)).expect("a pull").samples.is_empty());
     ledger.set_pool_rule(rule(2, 2));
@@ -139,7 +145,7 @@
 }
 
 #[test]
-fn a_roll_back_is_followed_and_an_older_generation_is_not() {
+fn a_rollback_is_applied_and_an_older_generation_is_ignored() {
     let mut ledger = open(1);
     ledger.set_pool_rule(rule(2, 5));
     ledger.set_pool_rule(rule(3, 2));
@@ -149,7 +155,7 @@
 }
 
 #[test]
-fn a_successor_goes_on_with_what_was_made_and_held() {
+fn a_successor_restores_finished_and_held_slots() {
     let mut ledger = open(1);
     let (first, second) = (next(&mut ledger), next(&mut ledger));
     ledger.finished(first.attempt, sample(first.slot, &[1], "a"));
@@ -158,31 +164,34 @@
     ledger.pull(&pull(&held, TOKEN)).expect("a pull");
     let resumed = StepLedger::resume(ledger.snapshot(), TOKEN.next(), rule(1, 1));
     let mut resumed = resumed.expect("a good snapshot");
-    let out = resumed.pull(&pull(&held, TOKEN.next())).expect("a pull");
-    assert_eq!(out.samples.iter().map(|s| s.text.as_str()).collect::<Vec<_>>(), ["b"]);
-    let left: Vec<SlotIndex> = std::iter::from_fn(|| resumed.assign()).map(|w| w.slot).collect();
-    assert!(!left.contains(&first.slot) && !left.contains(&second.slot) && left.len() == 6);
+    let batch = resumed.pull(&pull(&held, TOKEN.next())).expect("a pull");
+    assert_eq!(batch.samples.iter().map(|s| s.text.as_str()).collect::<Vec<_>>(), ["b"]);
+    let assigned: Vec<SlotIndex> =
+        std::iter::from_fn(|| resumed.assign()).map(|w| w.slot).collect();
+    assert!(
+        !assigned.contains(&first.slot) && !assigned.contains(&second.slot) && assigned.len() == 6
+    );
 }
 
 #[test]
-fn the_trainer_takes_each_slot_once_and_nothing_stale() {
-    let mut intake = StepReceiver::new(spec(2));
+fn the_receiver_accepts_each_slot_once_and_nothing_stale() {
+    let mut receiver = StepReceiver::new(spec(2));
     let slot = SlotIndex::new(0);
-    let taken = intake.accept(TOKEN, rule(1, 2), vec![sample(slot, &[2], "a")]);
-    assert_eq!(taken.expect("a good token").taken.len(), 1);
-    let again = intake.accept(TOKEN, rule(1, 2), vec![sample(slot, &[2], "b")]);
-    assert_eq!(again.expect("a good token").doubled, 1);
+    let accepted = receiver.accept(TOKEN, rule(1, 2), vec![sample(slot, &[2], "a")]);
+    assert_eq!(accepted.expect("a good token").accepted.len(), 1);
+    let again = receiver.accept(TOKEN, rule(1, 2), vec![sample(slot, &[2], "b")]);
+    assert_eq!(again.expect("a good token").duplicates, 1);
     let old = vec![sample(SlotIndex::new(1), &[2], "c"), sample(SlotIndex::new(9), &[4], "d")];
-    let late = intake.accept(TOKEN, rule(2, 4), old).expect("a good token");
-    assert_eq!((late.stale, late.foreign, late.taken.len()), (1, 1, 0));
+    let late = receiver.accept(TOKEN, rule(2, 4), old).expect("a good token");
+    assert_eq!((late.stale, late.unknown_slots, late.accepted.len()), (1, 1, 0));
 }
 
 #[test]
-fn the_trainer_refuses_an_answer_under_a_lower_token() {
-    let mut intake = StepReceiver::new(spec(1));
+fn the_receiver_refuses_a_response_with_a_lower_token() {
+    let mut receiver = StepReceiver::new(spec(1));
     let slot = SlotIndex::new(0);
-    intake.accept(TOKEN.next(), rule(1, 1), Vec::new()).expect("the first token");
-    let refused = intake.accept(TOKEN, rule(1, 1), vec![sample(slot, &[1], "a")]);
+    receiver.accept(TOKEN.next(), rule(1, 1), Vec::new()).expect("the first token");
+    let refused = receiver.accept(TOKEN, rule(1, 1), vec![sample(slot, &[1], "a")]);
     refused.unwrap_err();
-    assert!(intake.held().is_empty());
+    assert!(receiver.held().is_empty());
 }
--- a/crates/sessions/src/trainer.rs
+++ b/crates/sessions/src/trainer.rs
@@ -57,7 +57,7 @@
             Question::Pull(Pull {
                 held: self.intake.held().clone(),
                 seen: self.intake.seen(),
-                most: MOST,
+                max_samples: MOST,
             })
         } else {
             Question::Open
--- a/crates/sessions/src/world/trainer.rs
+++ b/crates/sessions/src/world/trainer.rs
@@ -55,7 +55,7 @@
             Brought::Samples(intake) => {
                 let window = self.trainer.intake.window();
                 let runs = &self.runs;
-                for sample in &intake.taken {
+                for sample in &intake.accepted {
                     self.truth.taken(now, sample, window, |run| runs.get(&run).cloned());
                 }
             }
--- a/crates/xtask/src/mutate.rs
+++ b/crates/xtask/src/mutate.rs
@@ -35,7 +35,7 @@
 const MUTATIONS: &[Mutation] = &[
     Mutation {
         name: "1: a missing stamp is taken for the last version",
-        file: "crates/ledger/src/trail.rs",
+        file: "crates/ledger/src/chunks.rs",
         from: "let Some(version) = stamp.version else {",
         to: "let Some(version) = stamp.version.or(self.oldest()).or(Some(ModelVersion::new(1))) else {",
         package: "sessions",
@@ -68,14 +68,14 @@
     Mutation {
         name: "2: no check when a version is named",
         file: "crates/ledger/src/step.rs",
-        from: "self.make_again(|sample| window.is_too_old(sample.oldest()));",
+        from: "self.discard_where(|sample| window.is_too_old(sample.oldest()));",
         to: "let _ = window;",
         package: "ledger",
         test: "became_too_old",
     },
     Mutation {
         name: "2: no check at the trainer",
-        file: "crates/ledger/src/intake.rs",
+        file: "crates/ledger/src/receiver.rs",
         from: "sample.spans.is_empty() || window.is_too_old(sample.oldest())",
         to: "sample.spans.is_empty()",
         package: "ledger",
@@ -83,7 +83,7 @@
     },
     Mutation {
         name: "3: the trainer does not look whether it holds a slot",
-        file: "crates/ledger/src/intake.rs",
+        file: "crates/ledger/src/receiver.rs",
         from: "} else if self.held.contains(sample.slot) {",
         to: "} else if false {",
         package: "sessions",
@@ -91,7 +91,7 @@
     },
     Mutation {
         name: "3: an answer under a lower token is taken",
-        file: "crates/ledger/src/intake.rs",
+        file: "crates/ledger/src/receiver.rs",
         from: "if token < self.seen {",
         to: "if false {",
         package: "ledger",
