--- a/crates/jobs/src/item.rs
+++ b/crates/jobs/src/item.rs
@@ -81,7 +81,7 @@
     NotRun,
     /// The target responded with an error.
     Failed,
-    /// The item can never succeed; it is not retried.
+    /// The item can never succeed; it is given up.
     Impossible,
     /// The response does not continue the existing text; the text is discarded.
     Unusable,
@@ -112,7 +112,8 @@
 pub enum RewardOutcome {
     /// The call succeeded with this score.
     Scored(String),
-    /// The target responded with an error; the item is given up after `attempts` such errors.
+    /// The target responded with an error; the item may be given up after `attempts` such
+    /// errors.
     Failed {
         /// Attempts allowed by the reward call's route.
         attempts: u32,
@@ -128,7 +129,7 @@
 pub enum LossReason {
     /// Its runs failed as often as its route allows, or it can never succeed.
     Failures,
-    /// Its reward calls failed as often as their route allows.
+    /// Its reward calls failed too often.
     RewardFailures,
     /// It waited longer than its route allows.
     TooLate,
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -24,7 +24,7 @@
 pub use item::{ItemRef, LossReason, RewardOutcome, RunEvent, RunOutcome, RunResult, RunSpec};
 pub use order::run_order;
 pub use packed::{UnpackError, pack_text, unpack_text};
-pub use reads::{JobCounts, ResultsPage, StepNames};
+pub use reads::{JobCounts, ResultsPage, StepInfo};
 pub use reward_plan::RewardHedgePlan;
 pub use snapshot::{SnapshotCursor, SnapshotPiece};
 pub use table::JobTable;
--- a/crates/jobs/src/reads.rs
+++ b/crates/jobs/src/reads.rs
@@ -21,7 +21,7 @@
 
 /// The training step that a job belongs to.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct StepNames {
+pub struct StepInfo {
     /// Name of the trained model.
     pub model: String,
     /// Step number.
@@ -43,9 +43,9 @@
 
 impl JobTable {
     /// Returns the step of a job, or the default if the job is unknown.
-    pub fn step(&self, id: &JobId) -> StepNames {
-        let Some(state) = self.jobs.get(id) else { return StepNames::default() };
-        StepNames {
+    pub fn step(&self, id: &JobId) -> StepInfo {
+        let Some(state) = self.jobs.get(id) else { return StepInfo::default() };
+        StepInfo {
             model: state.job.model.clone(),
             number: state.job.step,
             min_version: state.job.min_version,
--- a/crates/jobs/src/table.rs
+++ b/crates/jobs/src/table.rs
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Applies a record that is on every copy of the log. Idempotent: applying a record twice has
-    /// no further effect.
+    /// Applies a record that is on every copy of the log. A record may be applied again, as after a
+    /// replay: jobs and results stay the same.
     pub fn apply(&mut self, now: Moment, record: LogRecord) {
         self.apply_at(now, record, None);
     }
