--- a/crates/gannetwayd/src/serve/step.rs
+++ b/crates/gannetwayd/src/serve/step.rs
@@ -223,7 +223,7 @@
 ) -> ServeResult<PullReply> {
     let (handle, step, seen) = find_keeper(incoming, pull.step.as_ref())?;
     let most = usize::try_from(pull.max_samples).unwrap_or(MAX_SAMPLES).clamp(1, MAX_SAMPLES);
-    let pull_request = Pull { held: SlotSet::from_bytes(pull.held), seen, most };
+    let pull_request = Pull { held: SlotSet::from_bytes(pull.held), seen, max_samples: most };
     let mut changes = handle.changes.clone();
     let wait = Duration::from_millis(pull.wait_ms);
     let wait = wait.min(incoming.time_left.saturating_sub(RESPONSE_TIME_RESERVE));
