--- a/crates/routing/src/customers.rs
+++ b/crates/routing/src/customers.rs
@@ -1,11 +1,12 @@
-//! Customers and their keys: who a caller is, as the configuration in force says.
+//! Customers and their API keys.
 //!
-//! No key is held: a table knows keys by their digest alone, so none can show in a log, a debug line or
-//! an error, and how long a lookup takes tells nothing of a key that is nearly right.
+//! Keys are stored as digests only. They can't leak into logs, debug output or errors, and the time
+//! of a lookup reveals nothing about similar keys.
 //!
-//! A configuration that names keys in an odd way is used all the same, so that one customer's slip holds up no
-//! other's change: a key that two customers name belongs to neither of them, a customer that stands there twice
-//! has the keys of both entries, and a key that no header can carry is left out. Each is a [`CustomerFault`].
+//! An invalid entry does not reject the configuration, so that one customer's mistake can't block
+//! the changes of others: a key that two customers list belongs to neither, a customer that is
+//! listed twice has the keys of both entries, and a key that no header can carry is ignored. Each
+//! of these is reported as a [`CustomerFault`].
 
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
@@ -15,44 +16,44 @@
 use ids::CustomerName;
 use sha2::{Digest, Sha256};
 
-/// Longest key, in bytes: longer ones would not fit a head beside the other headers.
-const MOST_KEY_BYTES: usize = 1_024;
+/// Maximum length of a key in bytes; longer keys might not fit into the request head.
+const MAX_KEY_BYTES: usize = 1_024;
 
-/// Why a text is no key.
+/// Why a text is not a valid key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum KeyFault {
-    /// It has no bytes.
-    #[error("the key is empty: give it at least one character")]
+    /// The key is empty.
+    #[error("the key is empty: use at least one character")]
     Empty,
-    /// It holds bytes that no header carries.
-    #[error("the key holds other characters than visible ASCII: make a new one without them")]
-    OddBytes,
-    /// It is longer than a head may be.
-    #[error("the key is longer than {MOST_KEY_BYTES} bytes: make a shorter one")]
+    /// The key contains bytes that are not allowed in a header.
+    #[error("the key contains characters other than visible ASCII: use a key without them")]
+    InvalidBytes,
+    /// The key is too long for a request head.
+    #[error("the key is longer than {MAX_KEY_BYTES} bytes: use a shorter key")]
     TooLong,
 }
 
-/// SHA-256 of a key; all that is held of it.
+/// SHA-256 digest of a key.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// The digest of a key as it stands in a configuration or a request.
+    /// Computes the digest of a key from a configuration or a request.
     pub fn of(key: &str) -> Result<Self, KeyFault> {
         if key.is_empty() {
             return Err(KeyFault::Empty);
         }
-        if key.len() > MOST_KEY_BYTES {
+        if key.len() > MAX_KEY_BYTES {
             return Err(KeyFault::TooLong);
         }
         if !key.bytes().all(|byte| byte.is_ascii_graphic()) {
-            return Err(KeyFault::OddBytes);
+            return Err(KeyFault::InvalidBytes);
         }
         Ok(Self(Sha256::digest(key.as_bytes()).into()))
     }
 }
 
-/// The first bytes of the digest: enough for operators to tell keys apart.
+/// Shows the first bytes of the digest, so that operators can tell keys apart.
 impl fmt::Display for KeyDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0[..4].iter().try_for_each(|byte| write!(f, "{byte:02x}"))
@@ -65,69 +66,69 @@
     }
 }
 
-/// A customer as a configuration names it.
+/// A customer entry of a configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CustomerSpec {
-    /// Its name.
+    /// Name of the customer.
     pub name: CustomerName,
-    /// Its rank, 0 the highest; goes before that of a route.
+    /// Priority, 0 is the highest; overrides the priority of a route.
     pub priority: Option<u8>,
-    /// Its keys, each as it was read.
+    /// Digests of the keys, or why a key is invalid.
     pub keys: Vec<Result<KeyDigest, KeyFault>>,
 }
 
-/// A customer of the configuration in force.
+/// A customer of the active configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Customer {
-    /// Its name.
+    /// Name of the customer.
     pub name: CustomerName,
-    /// Its rank, 0 the highest; goes before that of a route.
+    /// Priority, 0 is the highest; overrides the priority of a route.
     pub priority: Option<u8>,
 }
 
-/// What is odd about the customers of a configuration.
+/// An invalid customer entry of a configuration.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CustomerFault {
-    /// Two customers name one key.
+    /// Two customers list the same key.
     #[error(
-        "customers {first} and {second} name the same key {key}, which now is nobody's: give each its own"
+        "customers {first} and {second} share the key {key}, which is now rejected: give each its own"
     )]
     SharedKey {
-        /// The key.
+        /// Digest of the key.
         key: KeyDigest,
-        /// Who names it first.
+        /// Customer that lists it first.
         first: CustomerName,
-        /// Who names it as well.
+        /// Customer that lists it again.
         second: CustomerName,
     },
-    /// A customer stands in the configuration more than once.
-    #[error("customer {0} is named twice, and has the keys of both entries: merge them")]
+    /// A customer is listed more than once.
+    #[error("customer {0} is listed twice and has the keys of both entries: merge them")]
     NamedTwice(CustomerName),
-    /// A key that no caller can send.
-    #[error("a key of customer {customer} is left out: {fault}")]
+    /// A key is invalid and is ignored.
+    #[error("a key of customer {customer} is ignored: {fault}")]
     UnusableKey {
-        /// Whose it is.
+        /// Customer that lists the key.
         customer: CustomerName,
-        /// Why.
+        /// Why the key is invalid.
         fault: KeyFault,
     },
 }
 
-/// Who a request comes from.
+/// Identity of the caller of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallerIdentity {
-    /// The configuration knows no customers: nobody needs a key.
+    /// The configuration has no customers, so no key is required.
     NoCustomers,
-    /// A customer, by its key.
+    /// A customer, identified by its key.
     Known(Arc<Customer>),
-    /// Nobody that the configuration knows, on a route that needs no key.
+    /// An unidentified caller on a public route.
     Anonymous,
-    /// The key is missing, or no customer has it.
+    /// The key is missing or belongs to no customer.
     Refused,
 }
 
 impl CallerIdentity {
-    /// The customer's name, where one is known.
+    /// Name of the customer, if the caller is identified.
     pub fn customer(&self) -> Option<&CustomerName> {
         match self {
             Self::Known(customer) => Some(&customer.name),
@@ -135,23 +136,24 @@
         }
     }
 
-    /// Whether the configuration knows customers, so that what a caller says of itself must not travel on.
+    /// Whether the configuration has customers. If so, identity headers sent by the caller must not
+    /// be forwarded.
     pub const fn is_checked(&self) -> bool {
         !matches!(self, Self::NoCustomers)
     }
 }
 
-/// The customers of one configuration, by their keys.
+/// The customers of one configuration, indexed by key.
 #[derive(Debug, Clone, Default)]
 pub struct CustomerTable {
-    /// None where two customers name the key.
+    /// `None` if two customers list the key.
     by_key: HashMap<KeyDigest, Option<Arc<Customer>>>,
     faults: Vec<CustomerFault>,
     count: usize,
 }
 
 impl CustomerTable {
-    /// A table of these customers.
+    /// Builds the table and collects the faults of the entries.
     pub fn new(specs: Vec<CustomerSpec>) -> Self {
         let mut table = Self::default();
         let (customers, faults) = merge(&specs);
@@ -174,43 +176,43 @@
 
     fn add_key(&mut self, key: KeyDigest, customer: &Arc<Customer>) {
         match self.by_key.entry(key) {
-            Entry::Vacant(free) => {
-                free.insert(Some(Arc::clone(customer)));
+            Entry::Vacant(vacant) => {
+                vacant.insert(Some(Arc::clone(customer)));
             }
-            Entry::Occupied(mut taken) => {
-                let Some(first) = taken.get().clone() else { return };
+            Entry::Occupied(mut occupied) => {
+                let Some(first) = occupied.get().clone() else { return };
                 if first.name == customer.name {
                     return;
                 }
-                taken.insert(None);
+                occupied.insert(None);
                 let (first, second) = (first.name.clone(), customer.name.clone());
                 self.faults.push(CustomerFault::SharedKey { key, first, second });
             }
         }
     }
 
-    /// The customer that has a key.
+    /// Returns the customer that a key belongs to.
     pub fn holder(&self, key: KeyDigest) -> Option<&Arc<Customer>> {
         self.by_key.get(&key)?.as_ref()
     }
 
-    /// What is odd about the customers, for the log.
+    /// Invalid entries found in the configuration, to be logged.
     pub fn faults(&self) -> &[CustomerFault] {
         &self.faults
     }
 
-    /// How many customers there are.
+    /// Number of customers.
     pub const fn len(&self) -> usize {
         self.count
     }
 
-    /// Whether there are none.
+    /// Whether there are no customers.
     pub const fn is_empty(&self) -> bool {
         self.count == 0
     }
 }
 
-/// Each customer once, with the higher of its ranks.
+/// Merges entries of the same customer; the higher priority wins.
 fn merge(specs: &[CustomerSpec]) -> (HashMap<CustomerName, Arc<Customer>>, Vec<CustomerFault>) {
     let mut customers: HashMap<CustomerName, Arc<Customer>> = HashMap::new();
     let mut faults = Vec::new();
--- a/crates/routing/src/index.rs
+++ b/crates/routing/src/index.rs
@@ -1,9 +1,10 @@
-//! Which targets a choice looks at.
+//! Selects the targets that are considered for a request.
 //!
-//! A choice that looks at every target of a service costs more with each target that is added, and holds the
-//! box's lock for as long. So targets are indexed by what work asks for, the version of a model, and where more of
-//! them fit than a look takes, it takes some by chance: the best of many is hardly better than the best of those.
-//! Beside them it looks at those that did work last, since connections to them are open.
+//! Comparing all targets of a service takes time proportional to their number, while the lock of
+//! the target table is held. Targets are therefore indexed by model version. If more than
+//! [`MAX_CANDIDATES`] of them qualify, a random sample is compared: its best target is nearly as
+//! good as the best of all. Recently used targets are added to the sample because their connections
+//! are still open.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -14,41 +15,41 @@
 
 use crate::{HeldModel, TargetRequirements};
 
-/// Targets that one choice looks at, beside those that did work last.
-pub const MOST_LOOKED: usize = 64;
-/// Targets that did work last and are looked at, too: as many as a server of a shard keeps at work.
-const MOST_RECENT: usize = 128;
+/// Maximum number of sampled targets per choice; recently used targets come on top.
+pub const MAX_CANDIDATES: usize = 64;
+/// Maximum number of recently used targets that are considered as well.
+const MAX_RECENT: usize = 128;
 
 #[derive(Debug, Default)]
 struct ServiceIndex {
     all: IndexSet<InstanceId>,
-    /// Those that did work last, the latest at the end.
+    /// Targets whose requests succeeded most recently, the latest last.
     recent: IndexSet<InstanceId>,
     holders: HashMap<ModelName, BTreeMap<ModelVersion, IndexSet<InstanceId>>>,
 }
 
-/// The targets by service, and by the versions that they hold.
+/// Index of the targets by service and by the model versions that they hold.
 #[derive(Debug, Default)]
 pub(crate) struct TargetIndex(HashMap<ServiceName, ServiceIndex>);
 
 impl TargetIndex {
     /// Adds a target with the models that it holds.
     pub fn insert(&mut self, service: &ServiceName, instance: &InstanceId, models: &[HeldModel]) {
-        let of_service = self.0.entry(service.clone()).or_default();
-        of_service.all.insert(instance.clone());
+        let index = self.0.entry(service.clone()).or_default();
+        index.all.insert(instance.clone());
         for held in models {
-            let versions = of_service.holders.entry(held.model.clone()).or_default();
+            let versions = index.holders.entry(held.model.clone()).or_default();
             versions.entry(held.version).or_default().insert(instance.clone());
         }
     }
 
-    /// Takes a target off, with the models that it was said to hold.
+    /// Removes a target; `models` must be the models that it was inserted with.
     pub fn remove(&mut self, service: &ServiceName, instance: &InstanceId, models: &[HeldModel]) {
-        let Some(of_service) = self.0.get_mut(service) else { return };
-        of_service.all.swap_remove(instance);
-        of_service.recent.shift_remove(instance);
+        let Some(index) = self.0.get_mut(service) else { return };
+        index.all.swap_remove(instance);
+        index.recent.shift_remove(instance);
         for held in models {
-            let Some(versions) = of_service.holders.get_mut(&held.model) else { continue };
+            let Some(versions) = index.holders.get_mut(&held.model) else { continue };
             let Some(holders) = versions.get_mut(&held.version) else { continue };
             holders.swap_remove(instance);
             if holders.is_empty() {
@@ -57,72 +58,73 @@
         }
     }
 
-    /// Notes that a target has done work.
-    pub fn worked(&mut self, service: &ServiceName, instance: &InstanceId) {
-        let Some(of_service) = self.0.get_mut(service) else { return };
-        if of_service.all.len() <= MOST_LOOKED {
+    /// Marks a target of a large service as recently used.
+    pub fn record_success(&mut self, service: &ServiceName, instance: &InstanceId) {
+        let Some(index) = self.0.get_mut(service) else { return };
+        if index.all.len() <= MAX_CANDIDATES {
             return;
         }
-        of_service.recent.shift_remove(instance);
-        of_service.recent.insert(instance.clone());
-        if of_service.recent.len() > MOST_RECENT {
-            of_service.recent.shift_remove_index(0);
+        index.recent.shift_remove(instance);
+        index.recent.insert(instance.clone());
+        if index.recent.len() > MAX_RECENT {
+            index.recent.shift_remove_index(0);
         }
     }
 
-    /// Whether a service has more targets than a choice looks at.
+    /// Whether a service has more than [`MAX_CANDIDATES`] targets.
     pub fn is_large(&self, service: &ServiceName) -> bool {
-        self.0.get(service).is_some_and(|of_service| of_service.all.len() > MOST_LOOKED)
+        self.0.get(service).is_some_and(|index| index.all.len() > MAX_CANDIDATES)
     }
 
     /// All targets of a service.
     pub fn of_service(&self, service: &ServiceName) -> impl Iterator<Item = &InstanceId> {
-        self.0.get(service).into_iter().flat_map(|of_service| &of_service.all)
+        self.0.get(service).into_iter().flat_map(|index| &index.all)
     }
 
-    /// The targets that a choice looks at: all of a small service; of a larger one those that hold what is
-    /// needed, and of these no more than [`MOST_LOOKED`], and those that did work last.
-    pub fn looked(
+    /// Returns the targets to compare: all targets of a small service; for a large service at most
+    /// [`MAX_CANDIDATES`] random targets with the required model version, and the recently used.
+    pub fn candidates(
         &self,
         service: &ServiceName,
-        need: &TargetRequirements<'_>,
+        requirements: &TargetRequirements<'_>,
         rng: &mut impl Rng,
     ) -> Vec<&InstanceId> {
-        let Some(of_service) = self.0.get(service) else { return Vec::new() };
-        if of_service.all.len() <= MOST_LOOKED {
-            return of_service.all.iter().collect();
+        let Some(index) = self.0.get(service) else { return Vec::new() };
+        if index.all.len() <= MAX_CANDIDATES {
+            return index.all.iter().collect();
         }
-        let mut looked = match need.model {
-            None => sample(&[&of_service.all], rng),
+        let mut candidates = match requirements.model {
+            None => sample(&[&index.all], rng),
             Some((model, floor)) => {
-                let Some(versions) = of_service.holders.get(model) else { return Vec::new() };
-                let fitting: Vec<_> = versions.range(floor..).map(|(_, holders)| holders).collect();
-                sample(&fitting, rng)
+                let Some(versions) = index.holders.get(model) else { return Vec::new() };
+                let matching: Vec<_> =
+                    versions.range(floor..).map(|(_, holders)| holders).collect();
+                sample(&matching, rng)
             }
         };
-        // Those that do not fit are left out by the choice; one that stands twice does no harm.
-        looked.extend(&of_service.recent);
-        looked
+        // The caller filters out targets that do not qualify; duplicates are harmless.
+        candidates.extend(&index.recent);
+        candidates
     }
 }
 
-/// All members of the sets, or some by chance where there are many.
+/// Returns all members of the sets, or a random sample if there are too many.
 fn sample<'a>(sets: &[&'a IndexSet<InstanceId>], rng: &mut impl Rng) -> Vec<&'a InstanceId> {
     let total: usize = sets.iter().map(|set| set.len()).sum();
-    if total <= MOST_LOOKED {
+    if total <= MAX_CANDIDATES {
         return sets.iter().copied().flatten().collect();
     }
-    let picked = index::sample(rng, total, MOST_LOOKED);
-    picked.iter().filter_map(|at| member(sets, at)).collect()
+    let positions = index::sample(rng, total, MAX_CANDIDATES);
+    positions.iter().filter_map(|position| member_at(sets, position)).collect()
 }
 
-/// The member at a position of all sets, one after the other.
-fn member<'a>(sets: &[&'a IndexSet<InstanceId>], mut at: usize) -> Option<&'a InstanceId> {
+/// Returns the member at `position` in the concatenation of the sets.
+fn member_at<'a>(sets: &[&'a IndexSet<InstanceId>], mut position: usize) -> Option<&'a InstanceId> {
     for set in sets {
-        if at < set.len() {
-            return set.get_index(at);
+        if position < set.len() {
+            return set.get_index(position);
         }
-        at -= set.len();
+        position -= set.len();
     }
     None
 }
--- a/crates/routing/src/target.rs
+++ b/crates/routing/src/target.rs
@@ -1,4 +1,4 @@
-//! Targets as the platform lists them, and what requests need of them.
+//! Target records of the platform's listing and the requirements of requests.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,114 +13,114 @@
 /// A model version that a target holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeldModel {
-    /// The model.
+    /// Name of the model.
     pub model: ModelName,
-    /// The version of its weights.
+    /// Version of its weights.
     pub version: ModelVersion,
 }
 
-/// What the platform lists of one target.
+/// One target in the platform's listing.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TargetRecord {
-    /// The target's id.
+    /// Id of the target.
     pub instance: InstanceId,
-    /// When this life of it began.
+    /// Start time of this incarnation.
     pub born: StartTime,
-    /// The software that it runs, where it tells.
+    /// Software version, if the target reports it.
     pub software: Option<SoftwareVersion>,
-    /// Its service.
+    /// Service that the target belongs to.
     pub service: ServiceName,
-    /// Where it takes requests.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the target.
     pub domain: DomainId,
-    /// Requests it works on at a time.
+    /// Number of requests that it runs concurrently; 0 if not listed.
     pub slots: u32,
-    /// It has said that it will end: no new work.
+    /// The target announced its shutdown and accepts no new work.
     pub leaving: bool,
-    /// How long it is still cold, as it said last.
+    /// Remaining cold time, as last reported.
     pub cold_left: Duration,
-    /// Models it holds, if it is an engine.
+    /// Models that it holds; empty unless it is an engine.
     pub models: Vec<HeldModel>,
 }
 
 impl TargetRecord {
-    /// This life of it.
+    /// The incarnation that the record describes.
     pub fn incarnation(&self) -> TargetIncarnation {
         TargetIncarnation { instance: self.instance.clone(), born: self.born }
     }
 }
 
 impl ChosenTarget {
-    /// The life that was chosen.
+    /// The chosen incarnation.
     pub fn incarnation(&self) -> TargetIncarnation {
         TargetIncarnation { instance: self.instance.clone(), born: self.born }
     }
 }
 
-/// Load as told by an answer.
+/// Load reported in a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TargetLoad {
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests waiting there.
+    /// Number of requests queued at the target.
     pub waiting: u32,
 }
 
-/// How a request at a target failed, as far as it concerns the choice.
+/// How a request at a target failed, as far as it affects later choices.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TargetFailure {
-    /// It could not be reached, broke off or was silent.
+    /// The target was unreachable or unresponsive, or the connection broke.
     Broken,
-    /// It was full and took no work.
+    /// The target refused the request for lack of capacity.
     Full,
-    /// It is another life, or gone.
+    /// The target is gone, or restarted as another incarnation.
     Gone,
 }
 
-/// What a request needs of its target.
+/// What a request requires of its target.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct TargetRequirements<'a> {
-    /// A version of this model, at least this new.
+    /// Required model and its minimum version.
     pub model: Option<(&'a ModelName, ModelVersion)>,
-    /// Only targets with a free slot that do not rest: the request may wait.
+    /// Accepts only targets with a free slot that are not backed off: the request can be deferred.
     pub free_slot: bool,
-    /// Rather a fast target than an idle or a near one.
+    /// Prefers a fast target over an idle one or one in the same domain.
     pub fast: bool,
-    /// In whose part of a cold target's rate it goes; without one it goes to warm targets alone.
+    /// Sender whose quota of a cold target's rate is used; without one only warm targets qualify.
     pub sender: Option<ColdSender>,
-    /// Targets already tried.
+    /// Targets to exclude, usually because they were tried already.
     pub avoid: &'a [InstanceId],
 }
 
-/// Why no target was found for a request that may wait.
+/// Why no target was found for a request that can be deferred.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoTargetReason {
-    /// None holds the model in a version that is new enough.
+    /// No available target holds a new enough version of the model.
     OldVersion,
-    /// Those that do load weights.
+    /// The remaining targets are loading weights.
     Loading,
-    /// Those that do rest after a failure or a refusal.
+    /// The remaining targets are backed off after failures or refusals.
     BackedOff,
-    /// Those that do have no free slot.
+    /// The remaining targets have no free slot.
     Full,
-    /// Those that do are cold, and have got what they bear for now.
+    /// The remaining targets are cold and their quota is used up for now.
     Cold,
-    /// Those that do are in failure domains that are to be emptied.
+    /// The remaining targets are in evacuated failure domains.
     Evacuated,
 }
 
 /// A target chosen for one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ChosenTarget {
-    /// The target's id.
+    /// Id of the target.
     pub instance: InstanceId,
-    /// When this life of it began.
+    /// Start time of the chosen incarnation.
     pub born: StartTime,
-    /// The software that it runs, where it tells.
+    /// Software version, if the target reports it.
     pub software: Option<SoftwareVersion>,
-    /// Where it takes requests.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Its service.
+    /// Service that the target belongs to.
     pub service: ServiceName,
 }
--- a/crates/routing/tests/customers.rs
+++ b/crates/routing/tests/customers.rs
@@ -1,10 +1,10 @@
-//! Whose a key is: what a table of customers says, and what it makes of an odd one.
+//! Lookup of customers by key and handling of invalid entries.
 
 use ids::CustomerName;
 use routing::{CustomerFault, CustomerSpec, CustomerTable, KeyDigest, KeyFault};
 
 fn name(text: &str) -> CustomerName {
-    text.parse().expect("a name")
+    text.parse().expect("valid name")
 }
 
 fn spec(customer: &str, priority: Option<u8>, keys: &[&str]) -> CustomerSpec {
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn each_key_leads_to_its_customer() {
+fn keys_identify_their_customer() {
     let table =
         CustomerTable::new(vec![spec("a", Some(1), &["k-1", "k-2"]), spec("b", None, &["k-3"])]);
     assert_eq!(holder(&table, "k-2").as_deref(), Some("a"));
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_key_that_two_customers_name_is_nobodys() {
+fn key_shared_by_two_customers_belongs_to_neither() {
     let specs = vec![
         spec("a", None, &["shared", "k-1"]),
         spec("b", None, &["shared", "k-2"]),
@@ -43,18 +43,18 @@
 }
 
 #[test]
-fn a_key_that_stands_twice_with_one_customer_is_its_own() {
+fn key_listed_twice_for_one_customer_is_valid() {
     let table = CustomerTable::new(vec![spec("a", None, &["k-1", "k-1"])]);
     assert_eq!(holder(&table, "k-1").as_deref(), Some("a"));
     assert!(table.faults().is_empty());
 }
 
 #[test]
-fn a_customer_that_is_named_twice_has_the_keys_of_both_and_the_higher_rank() {
+fn duplicate_customer_entries_are_merged_with_the_higher_priority() {
     let table =
         CustomerTable::new(vec![spec("a", Some(3), &["k-1"]), spec("a", Some(1), &["k-2"])]);
     for key in ["k-1", "k-2"] {
-        let found = table.holder(KeyDigest::of(key).expect("a key")).expect("a customer");
+        let found = table.holder(KeyDigest::of(key).expect("valid key")).expect("a customer");
         assert_eq!((found.name.as_str(), found.priority), ("a", Some(1)));
     }
     assert_eq!(table.faults(), [CustomerFault::NamedTwice(name("a"))]);
@@ -62,19 +62,20 @@
 }
 
 #[test]
-fn a_key_that_no_header_carries_is_left_out_and_the_others_hold() {
+fn invalid_keys_are_ignored_and_valid_ones_kept() {
     let long = "x".repeat(2_000);
     let table =
         CustomerTable::new(vec![spec("a", None, &["", "with blank", "k-1", &long, "\u{e9}"])]);
     assert_eq!(holder(&table, "k-1").as_deref(), Some("a"));
     let unusable = |fault| CustomerFault::UnusableKey { customer: name("a"), fault };
-    let faults = [KeyFault::Empty, KeyFault::OddBytes, KeyFault::TooLong, KeyFault::OddBytes];
+    let faults =
+        [KeyFault::Empty, KeyFault::InvalidBytes, KeyFault::TooLong, KeyFault::InvalidBytes];
     assert_eq!(table.faults(), faults.map(unusable));
 }
 
 #[test]
-fn keys_show_nowhere_but_by_the_first_bytes_of_their_digest() {
-    let key = KeyDigest::of("open-sesame").expect("a key");
+fn keys_are_shown_only_as_digest_prefixes() {
+    let key = KeyDigest::of("open-sesame").expect("valid key");
     assert_eq!(key.to_string().len(), 8);
     let table = CustomerTable::new(vec![spec("a", None, &["open-sesame"])]);
     assert!(!format!("{key:?} {table:?}").contains("sesame"));
--- a/crates/xtask/src/ablate.rs
+++ b/crates/xtask/src/ablate.rs
@@ -164,18 +164,18 @@
         name: "rest-failed",
         without: "a target that failed is tried again at once",
         edit: SourceEdit {
-            file: "crates/routing/src/board.rs",
-            from: "const FIRST_REST: Duration = Duration::from_millis(200);",
-            to: "const FIRST_REST: Duration = Duration::ZERO;",
+            file: "crates/routing/src/target_table.rs",
+            from: "const INITIAL_BACKOFF: Duration = Duration::from_millis(200);",
+            to: "const INITIAL_BACKOFF: Duration = Duration::ZERO;",
         },
     },
     Ablation {
         name: "rest-full",
         without: "a target that was full is tried again at once",
         edit: SourceEdit {
-            file: "crates/routing/src/board.rs",
-            from: "const FULL_REST: Duration = Duration::from_millis(60);",
-            to: "const FULL_REST: Duration = Duration::ZERO;",
+            file: "crates/routing/src/target_table.rs",
+            from: "const INITIAL_FULL_BACKOFF: Duration = Duration::from_millis(60);",
+            to: "const INITIAL_FULL_BACKOFF: Duration = Duration::ZERO;",
         },
     },
     Ablation {
