--- a/crates/front/src/admission.rs
+++ b/crates/front/src/admission.rs
@@ -1,4 +1,4 @@
-//! Which requests may go on: by which route, and as whose.
+//! Admission of requests: route lookup and caller identification.
 
 use std::sync::Arc;
 
@@ -8,20 +8,20 @@
 use platform::headers;
 use routing::{CallerIdentity, Route, RouteTable};
 
-use crate::answer::{self, FrontBody};
+use crate::response::{self, FrontBody};
 
-/// A request that may go on.
+/// A request that was admitted.
 #[derive(Debug, Clone)]
 pub struct AdmittedRequest {
-    /// Its route.
+    /// Route of the request.
     pub route: Arc<Route>,
-    /// Who sends it.
+    /// Identity of the caller.
     pub caller: CallerIdentity,
 }
 
 impl AdmittedRequest {
-    /// Names the customer to the target, in place of what the caller says of itself. Without customers the caller's
-    /// headers are its own matter.
+    /// Replaces the caller's customer headers by the identified customer. Leaves the headers
+    /// unchanged if the configuration has no customers.
     pub fn name_customer(&self, sent: &mut HeaderMap) {
         if self.caller.is_checked() {
             headers::set_customer(sent, self.caller.customer());
@@ -29,17 +29,17 @@
     }
 }
 
-/// The host that a request names.
+/// Returns the `Host` header of a request, or an empty text.
 pub fn host_of(head: &Parts) -> &str {
     head.headers.get("host").and_then(|host| host.to_str().ok()).unwrap_or_default()
 }
 
-/// The path and query that a request names.
+/// Returns the path and query of a request.
 pub fn path_of(head: &Parts) -> &str {
     head.uri.path_and_query().map_or("/", |path| path.as_str())
 }
 
-/// Lets a request in by the configuration in force, or says why not.
+/// Admits a request under the active configuration, or returns the refusal to send.
 pub fn admit(view: &NodeView, head: &Parts) -> Result<AdmittedRequest, Box<Response<FrontBody>>> {
     let table = view.table();
     let id = headers::request_id(&head.headers);
@@ -50,15 +50,16 @@
             "request ended"
         );
         let remedy = "check the host and the path";
-        let refusal = answer::refuse(StatusCode::NOT_FOUND, "no route", remedy, id);
+        let refusal = response::refuse(StatusCode::NOT_FOUND, "no route", remedy, id);
         return Err(Box::new(refusal));
     };
     let caller = identify(view, &table, head, route.public)?;
     Ok(AdmittedRequest { route, caller })
 }
 
-/// Who sends a request. Nobody is called unknown by a box whose settings may be old: callers come again after a
-/// refusal that says so, and never after the other one.
+/// Identifies the caller of a request, or returns the refusal to send. A box whose configuration
+/// may be outdated sends a refusal that allows retries, since callers don't retry after an unknown
+/// key.
 pub fn identify(
     view: &NodeView,
     table: &RouteTable,
@@ -71,15 +72,18 @@
         return Ok(caller);
     }
     let id = headers::request_id(&head.headers);
-    let sure = view.has_fresh_config();
-    let outcome = if sure { "key not known" } else { "key not known, settings may be old" };
+    let is_current = view.has_fresh_config();
+    let outcome = if is_current { "key not known" } else { "key not known, settings may be old" };
     view.metrics.count_outcome("key", outcome);
     log::info!(
         target: "entry", request = id.unwrap_or(""), host = host_of(head), config = table.version.get(),
         key = key.map(|key| key.to_string()).as_deref().unwrap_or("none"), outcome = outcome;
         "request ended"
     );
-    let refusal =
-        if sure { answer::key_not_known(id) } else { answer::not_run("settings may be old", id) };
+    let refusal = if is_current {
+        response::unknown_key(id)
+    } else {
+        response::not_run("settings may be old", id)
+    };
     Err(Box::new(refusal))
 }
--- a/crates/front/src/isolation.rs
+++ b/crates/front/src/isolation.rs
@@ -1,11 +1,13 @@
-//! Whether this box is cut off from the rest of the deployment.
+//! Detects whether this box is isolated from the rest of the deployment.
 //!
-//! A box that hears neither the store, nor fresh news of it, nor a keeping box of another failure domain
-//! can do little for its callers: calls about jobs are turned away at once, and the platform is asked to
-//! send new callers elsewhere. An outage of the store, or the loss of a shard's server, cuts nobody off.
+//! A box is isolated if it receives neither store responses, nor fresh updates from the feed, nor
+//! responses from a storage box of another failure domain. An isolated box refuses calls about jobs
+//! immediately and reports itself as not ready, so that the platform redirects new callers. An
+//! outage of the store or the loss of a shard's server alone doesn't isolate a box.
 //!
-//! News that are fresh enough to be believed may be older than a cut. So a call that a keeping box did not
-//! answer raises a doubt, and then only an answer of such a box counts until one comes.
+//! Feed updates that still count as fresh may be older than a network partition. A failed call to a
+//! storage box therefore raises an alarm. While it is raised, only a response from a storage box
+//! proves that the box is connected.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -19,80 +21,81 @@
 
 use crate::jobs_api::ShardClient;
 
-/// How often it is looked whether the box is cut off.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
-/// Pause before a question that nobody answered is asked again: it may have failed at once.
-const AGAIN_PAUSE: Duration = Duration::from_millis(50);
-/// Longest wait for a keeping box to answer.
-const ASK_TIME: Duration = Duration::from_millis(400);
-/// An answer of the store about the configuration shows for this long that the box is not cut off. It
-/// is asked for as often; a watch that waits for longer may be answered though the way there is lost.
-const STORE_TRUST: Duration = Duration::from_millis(1_300);
-/// A box is cut off once nothing was heard for this long: one question may be lost.
-const CUT_AFTER: Duration = Duration::from_millis(600);
+/// How often the connection is checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Delay before the next probe after one without a response; a probe may fail immediately.
+const PROBE_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Maximum wait for a storage box to respond.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
+/// How long a store response about the configuration proves that the box is connected. The store is
+/// polled at least this often: a longer watch may be answered although the connection is lost.
+const STORE_RESPONSE_TTL: Duration = Duration::from_millis(1_300);
+/// Time without contact after which a box is isolated; long enough for one lost probe.
+const ISOLATION_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Whether a call has given reason to doubt that other failure domains are within reach.
+/// Set while a failed call suggests that other failure domains are unreachable.
 ///
-/// With it a box whose connections are reset by a cut notices before the last proof of the store gets old, and asks
-/// the platform sooner to send its domain's callers elsewhere.
+/// It lets a box whose connections were reset detect a partition before the last freshness proof of
+/// the store expires.
 #[derive(Debug, Default)]
-pub struct ReachDoubt {
+pub struct ReachabilityAlarm {
     raised: AtomicBool,
-    told: Notify,
+    raised_notify: Notify,
 }
 
-impl ReachDoubt {
-    /// A keeping box did not answer.
+impl ReachabilityAlarm {
+    /// Raises the alarm after a call to a storage box failed.
     pub fn raise(&self) {
         if !self.raised.swap(true, Ordering::Relaxed) {
-            self.told.notify_one();
+            self.raised_notify.notify_one();
         }
     }
 
-    /// Whether a doubt stands.
+    /// Whether the alarm is raised.
     pub fn is_raised(&self) -> bool {
         self.raised.load(Ordering::Relaxed)
     }
 
-    /// A keeping box of another failure domain has answered.
-    pub fn settle(&self) {
+    /// Clears the alarm after a storage box of another failure domain responded.
+    pub fn clear(&self) {
         self.raised.store(false, Ordering::Relaxed);
     }
 
-    /// Waits until a doubt is raised, `time` at most.
+    /// Waits until the alarm is raised, for at most `time`.
     pub async fn wait(&self, time: Duration) {
-        // Raised or not, it is looked again.
-        let _elapsed = time::timeout(time, self.told.notified()).await;
+        // The caller checks again in either case.
+        let _elapsed = time::timeout(time, self.raised_notify.notified()).await;
     }
 }
 
-/// Looks whether the box is cut off until `stop`.
+/// Checks periodically whether the box is isolated, until `stop` is cancelled.
 pub async fn watch_isolation(view: Arc<NodeView>, shards: ShardClient, stop: CancellationToken) {
-    let watched = async {
-        let mut heard_at = Instant::now();
+    let watch = async {
+        let mut last_contact = Instant::now();
         loop {
-            let doubt = shards.doubt();
-            let told = !doubt.is_raised()
-                && (view.feed.freshness().is_served_by_feed() || hears_store(&view));
-            let reached = told || shards.reaches_others(ASK_TIME).await;
-            if reached {
-                doubt.settle();
-                heard_at = Instant::now();
+            let alarm = shards.alarm();
+            let store_is_current = !alarm.is_raised()
+                && (view.feed.freshness().is_served_by_feed() || has_recent_store_response(&view));
+            let is_connected =
+                store_is_current || shards.can_reach_other_domains(PROBE_TIMEOUT).await;
+            if is_connected {
+                alarm.clear();
+                last_contact = Instant::now();
             }
-            view.set_isolated(view.is_configured() && heard_at.elapsed() >= CUT_AFTER);
-            if reached || view.is_isolated() {
-                doubt.wait(LOOK_EVERY).await;
+            view.set_isolated(view.is_configured() && last_contact.elapsed() >= ISOLATION_TIMEOUT);
+            if is_connected || view.is_isolated() {
+                alarm.wait(CHECK_INTERVAL).await;
             } else {
-                time::sleep(AGAIN_PAUSE).await;
+                time::sleep(PROBE_RETRY_DELAY).await;
             }
         }
     };
     tokio::select! {
-        () = watched => {}
+        () = watch => {}
         () = stop.cancelled() => {}
     }
 }
 
-fn hears_store(view: &NodeView) -> bool {
-    view.feed.age(Kind::Configuration, view.now()).is_some_and(|age| age < STORE_TRUST)
+fn has_recent_store_response(view: &NodeView) -> bool {
+    view.feed.age(Kind::Configuration, view.now()).is_some_and(|age| age < STORE_RESPONSE_TTL)
 }
--- a/crates/front/src/jobs_api.rs
+++ b/crates/front/src/jobs_api.rs
@@ -1,4 +1,4 @@
-//! Trainers' calls: jobs handed in, read and ended, at whichever box serves the job's shard.
+//! Trainers' calls: submits, reads and ends jobs at the box that serves the job's shard.
 
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -21,51 +21,52 @@
     response_item, shard_request, shard_response,
 };
 
-use crate::answer::{self, FrontBody};
-use crate::isolation::ReachDoubt;
-use crate::search::{JobPlaces, JobSearch, ShardFault};
+use crate::isolation::ReachabilityAlarm;
+use crate::response::{self, FrontBody};
+use crate::search::{JobLocations, JobSearch, ShardFault};
 
-/// Longest time for a job to be on all copies of its log. The sender comes again elsewhere when
-/// it hears nothing, so this only bounds what is held here.
-const SUBMIT_TIME: Duration = Duration::from_secs(3);
-/// Longest time for a call that waits for nothing.
-const CALL_TIME: Duration = Duration::from_millis(1_500);
-/// Longest time to find the shard that holds a job: its server answers from memory, and where that takes
-/// longer, the call itself is made at all shards.
-const LOCATE_TIME: Duration = Duration::from_millis(300);
-/// Room for an answer beyond the wait that the caller asked for.
-const READ_SLACK: Duration = Duration::from_millis(800);
-/// Longest wait that a read may ask for.
-const MOST_WAIT: Duration = Duration::from_secs(1);
-/// Changes of server that one call follows.
-const MOST_SERVERS: u32 = 2;
-/// Most bytes of texts in one page; the rest of the megabyte is for ids and JSON escapes.
-const PAGE_BYTES: u32 = 600_000;
+/// Timeout for writing a job to all copies of its log. The trainer retries at another box if it
+/// gets no response, so this only limits the resources used here.
+const SUBMIT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Timeout for a call that does not wait for results.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Timeout for locating the shard that holds a job. The servers respond from memory; after the
+/// timeout the call itself is sent to all shards.
+const LOCATE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time added to the caller's wait for the response to arrive.
+const READ_TIMEOUT_MARGIN: Duration = Duration::from_millis(800);
+/// Maximum wait that a read may request.
+const MAX_READ_WAIT: Duration = Duration::from_secs(1);
+/// Maximum number of server changes that one call follows.
+const MAX_EPOCH_CHANGES: u32 = 2;
+/// Maximum size of the texts in one page, in bytes. It leaves room for ids and JSON escapes within
+/// a page of one megabyte.
+const MAX_PAGE_BYTES: u32 = 600_000;
 
-/// The way to the shards.
+/// Sends calls to the servers of the job shards.
 #[derive(Debug, Clone)]
 pub struct ShardClient {
     view: Arc<NodeView>,
     links: LinkPool,
-    doubt: Arc<ReachDoubt>,
-    /// Where jobs are held of which this box has heard lately.
-    places: Arc<Mutex<JobPlaces>>,
+    alarm: Arc<ReachabilityAlarm>,
+    /// Cached locations of recently used jobs.
+    locations: Arc<Mutex<JobLocations>>,
 }
 
 impl ShardClient {
-    /// A client over these links.
+    /// Creates a client that uses `links`.
     pub fn new(view: Arc<NodeView>, links: LinkPool) -> Self {
-        Self { view, links, doubt: Arc::default(), places: Arc::default() }
+        Self { view, links, alarm: Arc::default(), locations: Arc::default() }
     }
 
-    /// Doubts that failed calls have raised.
-    pub fn doubt(&self) -> &ReachDoubt {
-        &self.doubt
+    /// The alarm that failed calls raise.
+    pub fn alarm(&self) -> &ReachabilityAlarm {
+        &self.alarm
     }
 
-    /// Asks the shard's server. When another box begins to serve the shard meanwhile, that one is asked
-    /// at once: whatever the call does, it does once for its id.
-    async fn ask(
+    /// Calls the shard's server. If another box takes over the shard meanwhile, the call is
+    /// repeated there immediately. This is safe because calls are idempotent by their id.
+    async fn call(
         &self,
         shard: ShardIndex,
         id: &str,
@@ -75,19 +76,19 @@
         if self.view.is_isolated() {
             return Err(ShardFault::NotServed);
         }
-        let mut left = false;
-        for _ in 0..MOST_SERVERS {
+        let mut is_retry = false;
+        for _ in 0..MAX_EPOCH_CHANGES {
             let epoch = self.epoch(shard);
             tokio::select! {
-                asked = self.ask_copies(shard, id, time, body) => return after_change(left, body, asked),
-                () = self.other_server(shard, epoch) => left = true,
+                result = self.call_copies(shard, id, time, body) => return after_retry(is_retry, body, result),
+                () = self.epoch_changed(shard, epoch) => is_retry = true,
             }
         }
-        after_change(left, body, self.ask_copies(shard, id, time, body).await)
+        after_retry(is_retry, body, self.call_copies(shard, id, time, body).await)
     }
 
-    /// Returns once another epoch of the shard is in force.
-    async fn other_server(&self, shard: ShardIndex, epoch: Option<EpochId>) {
+    /// Waits until the shard's epoch differs from `epoch`.
+    async fn epoch_changed(&self, shard: ShardIndex, epoch: Option<EpochId>) {
         let mut changes = self.view.changes();
         while self.epoch(shard) == epoch {
             if changes.changed().await.is_err() {
@@ -97,12 +98,12 @@
     }
 
     fn epoch(&self, shard: ShardIndex) -> Option<EpochId> {
-        self.view.assignments().plan(shard).map(|sighting| sighting.plan.epoch.clone())
+        self.view.assignments().plan(shard).map(|observed| observed.plan.epoch.clone())
     }
 
-    /// Asks the boxes with copies, the server first. Another one is asked only after an answer which
-    /// says that nothing was done.
-    async fn ask_copies(
+    /// Calls the boxes that hold copies of the shard, the server first. Tries the next box only if
+    /// the call was not executed, or if it is a read.
+    async fn call_copies(
         &self,
         shard: ShardIndex,
         id: &str,
@@ -110,11 +111,11 @@
         body: &shard_request::Body,
     ) -> Result<shard_response::Body, ShardFault> {
         let mut fault = ShardFault::NotServed;
-        for address in self.addresses(shard) {
-            match self.ask_at(&address, id, time, body.clone()).await {
-                Ok(answer) => return Ok(answer),
+        for address in self.copy_addresses(shard) {
+            match self.call_with_retry(&address, id, time, body.clone()).await {
+                Ok(response) => return Ok(response),
                 Err(ShardFault::NotServed) => {}
-                // A read does no harm twice; whatever changes something must not be guessed.
+                // Reads can be repeated; the outcome of other calls is unknown.
                 Err(ShardFault::Unknown) if is_read(body) => fault = ShardFault::Unknown,
                 Err(other) => return Err(other),
             }
@@ -122,83 +123,87 @@
         Err(fault)
     }
 
-    /// Asks one box. When the connection is lost under the call, it is made again on a new one:
-    /// whatever it does, it does once for its id.
-    async fn ask_at(
+    /// Calls one box. If the connection is lost during the call, repeats it once on a new
+    /// connection. This is safe because calls are idempotent by their id.
+    async fn call_with_retry(
         &self,
         address: &str,
         id: &str,
         time: Duration,
         body: shard_request::Body,
     ) -> Result<shard_response::Body, ShardFault> {
-        let error = match self.ask_once(address, id, time, body.clone()).await {
-            Ok(answer) => return Ok(answer),
+        let error = match self.call_once(address, id, time, body.clone()).await {
+            Ok(response) => return Ok(response),
             Err(error) => error,
         };
         if matches!(error, CallError::LinkLost | CallError::NotSent { .. }) {
-            self.doubt.raise();
+            self.alarm.raise();
         }
         if error != CallError::LinkLost {
             return Err(fault_of(&error));
         }
         log::info!(target: "entry", request = id, peer = address, outcome = "asked again"; "connection lost");
-        let again = self.ask_once(address, id, time, body.clone()).await;
-        after_change(true, &body, again.map_err(|error| fault_of(&error)))
+        let retried = self.call_once(address, id, time, body.clone()).await;
+        after_retry(true, &body, retried.map_err(|error| fault_of(&error)))
     }
 
-    async fn ask_once(
+    async fn call_once(
         &self,
         address: &str,
         id: &str,
         time: Duration,
         body: shard_request::Body,
     ) -> Result<shard_response::Body, CallError> {
-        let odd = CallError::Broken { why: "an answer of another kind" };
+        let unexpected = CallError::Broken { why: "unexpected kind of response" };
         let mut stream = self.links.call_shard(address, id, time, body).await?;
-        let mut whole = None;
+        let mut combined = None;
         while let Some(item) = stream.next(time).await? {
-            let Some(response_item::Body::Shard(ShardResponse { body: Some(answer) })) = item.body
+            let Some(response_item::Body::Shard(ShardResponse { body: Some(response) })) =
+                item.body
             else {
-                return Err(odd);
+                return Err(unexpected);
             };
-            whole = match (whole, answer) {
-                (None, answer) => Some(answer),
+            combined = match (combined, response) {
+                (None, response) => Some(response),
                 (Some(shard_response::Body::Page(mut page)), shard_response::Body::Page(more)) => {
                     page.results.extend(more.results);
                     Some(shard_response::Body::Page(page))
                 }
-                (Some(_), _) => return Err(odd),
+                (Some(_), _) => return Err(unexpected),
             };
         }
-        whole.ok_or(odd)
+        combined.ok_or(unexpected)
     }
 
-    /// Whether a box that keeps data answers from another failure domain; from this one, if there is no
-    /// other. What it answers does not matter.
-    pub async fn reaches_others(&self, time: Duration) -> bool {
-        let addresses = self.other_keepers();
-        let asked = addresses.iter().map(|address| async move {
+    /// Whether a storage box of another failure domain responds within `time`, with any response.
+    /// Boxes of this domain are probed only if there is no other domain.
+    pub async fn can_reach_other_domains(&self, time: Duration) -> bool {
+        let addresses = self.storage_boxes_to_probe();
+        let probes = addresses.iter().map(|address| async move {
             let body = shard_request::Body::Served(ServedQuery::default());
             match self.links.call_shard_unary(address, time, body).await {
                 Ok(_) | Err(CallError::Refused(_)) => true,
                 Err(error) => {
-                    log::debug!(target: "entry", peer = address.as_str(), error:% = error; "not reached");
+                    log::debug!(
+                        target: "entry", peer = address.as_str(), error:% = error;
+                        "storage box not reachable"
+                    );
                     false
                 }
             }
         });
-        let asked: FuturesUnordered<_> = asked.collect();
-        let reached = asked.any(|reached| async move { reached });
+        let probes: FuturesUnordered<_> = probes.collect();
+        let reached = probes.any(|reached| async move { reached });
         time::timeout(time, reached).await.unwrap_or(false)
     }
 
-    /// Addresses of keeping boxes, one of each other failure domain, and another each time.
-    fn other_keepers(&self) -> Vec<String> {
-        let duties = self.view.assignments();
-        let own = &self.view.settings.domain;
-        let mut boxes: Vec<&StorageBox> = duties.boxes().collect();
-        if boxes.iter().any(|copy| copy.domain != *own) {
-            boxes.retain(|copy| copy.domain != *own);
+    /// Addresses of randomly chosen storage boxes, one per other failure domain.
+    fn storage_boxes_to_probe(&self) -> Vec<String> {
+        let assignments = self.view.assignments();
+        let own_domain = &self.view.settings.domain;
+        let mut boxes: Vec<&StorageBox> = assignments.boxes().collect();
+        if boxes.iter().any(|copy| copy.domain != *own_domain) {
+            boxes.retain(|copy| copy.domain != *own_domain);
         }
         boxes.shuffle(&mut rand::rng());
         let mut domains = HashSet::new();
@@ -206,27 +211,28 @@
         boxes.into_iter().map(|copy| copy.address.clone()).collect()
     }
 
-    fn addresses(&self, shard: ShardIndex) -> Vec<String> {
-        let duties = self.view.assignments();
-        let copies = duties.plan(shard).map(|sighting| sighting.plan.copies.clone());
+    fn copy_addresses(&self, shard: ShardIndex) -> Vec<String> {
+        let assignments = self.view.assignments();
+        let copies = assignments.plan(shard).map(|observed| observed.plan.copies.clone());
         copies.unwrap_or_default().into_iter().map(|copy| copy.address).collect()
     }
 
-    /// Asks the shard that holds a job; what `body` makes for a shard does nothing where the job is not held.
-    async fn ask_job(
+    /// Calls the shard that holds a job. `body` builds the request for a shard; it must have no
+    /// effect at shards that don't hold the job.
+    async fn call_for_job(
         &self,
         job: &str,
         time: Duration,
         body: impl Fn(ShardIndex) -> shard_request::Body,
     ) -> Result<shard_response::Body, ShardFault> {
         if self.view.is_isolated() {
-            // Nobody is reached: the caller is turned away at once.
+            // No shard is reachable: refuse the call without waiting for a timeout.
             return Err(ShardFault::NotServed);
         }
         if let Some(shard) = self.locate(job).await {
-            match self.ask(shard, job, time, &body(shard)).await {
+            match self.call(shard, job, time, &body(shard)).await {
                 Err(ShardFault::NoJob) if self.view.shards() != Some(1) => {
-                    self.places().forget(job);
+                    self.locations().forget(job);
                 }
                 ended => return ended,
             }
@@ -234,42 +240,42 @@
         self.search(job, time, body).await
     }
 
-    /// The shard that holds a job, if it is known or its server says so.
+    /// Returns the shard that holds a job, from the cache or by querying the servers.
     async fn locate(&self, job: &str) -> Option<ShardIndex> {
         let shards = self.view.shards()?;
         if shards == 1 {
-            // To ask where it is would hold up each first call while the one server is lost.
+            // Don't query the only server: it would delay first calls while the server is down.
             return Some(ShardIndex::default());
         }
-        if let Some(shard) = self.places().shard(job) {
+        if let Some(shard) = self.locations().shard(job) {
             return Some(shard);
         }
-        let asked = (0..shards).map(ShardIndex::new).map(|shard| async move {
-            let address = self.addresses(shard).into_iter().next()?;
+        let queries = (0..shards).map(ShardIndex::new).map(|shard| async move {
+            let address = self.copy_addresses(shard).into_iter().next()?;
             let body = ServedQuery { shard: shard.get(), job: job.to_owned() };
-            let asked = self.links.call_shard_unary(
+            let reply = self.links.call_shard_unary(
                 &address,
-                LOCATE_TIME,
+                LOCATE_TIMEOUT,
                 shard_request::Body::Served(body),
             );
-            asked.await.ok().map(|_holds| shard)
+            reply.await.ok().map(|_response| shard)
         });
-        let asked: FuturesUnordered<_> = asked.collect();
-        let shard = std::pin::pin!(asked.filter_map(std::future::ready)).next().await;
+        let queries: FuturesUnordered<_> = queries.collect();
+        let shard = std::pin::pin!(queries.filter_map(std::future::ready)).next().await;
         self.view
             .metrics
             .count_outcome("job_search", if shard.is_some() { "found" } else { "not found" });
         let shard = shard?;
-        log::debug!(target: "entry", job = job, shard = shard.get(); "job found");
-        self.places().put(job, shard);
+        log::debug!(target: "entry", job = job, shard = shard.get(); "job located");
+        self.locations().put(job, shard);
         Some(shard)
     }
 
-    fn places(&self) -> MutexGuard<'_, JobPlaces> {
-        self.places.lock().unwrap_or_else(PoisonError::into_inner)
+    fn locations(&self) -> MutexGuard<'_, JobLocations> {
+        self.locations.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Asks all shards in full, when none has said that it holds the job.
+    /// Sends the call to all shards, if the job could not be located.
     async fn search(
         &self,
         id: &str,
@@ -277,16 +283,16 @@
         body: impl Fn(ShardIndex) -> shard_request::Body,
     ) -> Result<shard_response::Body, ShardFault> {
         let shards = self.view.shards().unwrap_or_default();
-        let asked = (0..shards).map(|number| {
+        let calls = (0..shards).map(|number| {
             let shard = ShardIndex::new(number);
             let body = body(shard);
-            async move { self.ask(shard, id, time, &body).await }
+            async move { self.call(shard, id, time, &body).await }
         });
-        let mut asked: FuturesUnordered<_> = asked.collect();
+        let mut calls: FuturesUnordered<_> = calls.collect();
         let mut search = JobSearch::default();
-        while let Some(ended) = asked.next().await {
-            match ended {
-                Ok(answer) => return Ok(answer),
+        while let Some(result) = calls.next().await {
+            match result {
+                Ok(response) => return Ok(response),
                 Err(fault) if search.failed(fault) => break,
                 Err(_) => {}
             }
@@ -295,15 +301,15 @@
     }
 }
 
-/// What an answer is worth after an earlier server, or an earlier connection, was left while the call was
-/// under way: it may have been done there, so no later answer can say that nothing was done.
-fn after_change(
-    left: bool,
+/// Adjusts the result of a call that was repeated at another server or on another connection. The
+/// first attempt may have been executed, so a refusal of the second becomes `Unknown`.
+fn after_retry(
+    is_retry: bool,
     body: &shard_request::Body,
-    asked: Result<shard_response::Body, ShardFault>,
+    result: Result<shard_response::Body, ShardFault>,
 ) -> Result<shard_response::Body, ShardFault> {
-    let unsure = matches!(asked, Err(ShardFault::NotServed | ShardFault::Full));
-    if left && unsure && !is_read(body) { Err(ShardFault::Unknown) } else { asked }
+    let reported_not_run = matches!(result, Err(ShardFault::NotServed | ShardFault::Full));
+    if is_retry && reported_not_run && !is_read(body) { Err(ShardFault::Unknown) } else { result }
 }
 
 const fn is_read(body: &shard_request::Body) -> bool {
@@ -325,7 +331,7 @@
     }
 }
 
-/// Takes a job that is handed in.
+/// Submits a job to its shard.
 pub async fn submit(
     client: &ShardClient,
     sender: JobSender<'_>,
@@ -337,21 +343,21 @@
         Err(error) => {
             log::warn!(target: "entry", request = id, error:% = error; "job refused");
             let remedy = "send the job as the interface says";
-            return answer::refuse(StatusCode::BAD_REQUEST, "bad_job", remedy, Some(id));
+            return response::refuse(StatusCode::BAD_REQUEST, "bad_job", remedy, Some(id));
         }
     };
     let items = job.items.len();
-    // None while the boxes have not agreed on the number of shards.
+    // `None` until the boxes have agreed on the number of shards.
     let Some(shards) = client.view.shards() else {
-        return answer::not_run("shard not served", Some(id));
+        return response::not_run("shard not served", Some(id));
     };
     let shard = shard_of_job(sender.host, &job.model, shards);
     let call = shard_request::Body::Submit(JobSubmit { shard: shard.get(), job: Some(job) });
-    let end = client.ask(shard, id, SUBMIT_TIME, &call).await;
-    if end.is_ok() {
-        client.places().put(id, shard);
+    let result = client.call(shard, id, SUBMIT_TIMEOUT, &call).await;
+    if result.is_ok() {
+        client.locations().put(id, shard);
     }
-    let outcome = match &end {
+    let outcome = match &result {
         Ok(_) => "accepted",
         Err(ShardFault::NotServed) => "not served",
         Err(ShardFault::Full) => "full",
@@ -362,26 +368,28 @@
     log::info!(
         target: "entry", job = id, shard = shard.get(), items = items,
         customer = sender.customer.map_or("", CustomerName::as_str), outcome = outcome;
-        "job handed in"
+        "job submitted"
     );
-    match end {
-        Ok(_) => answer::whole(StatusCode::ACCEPTED, "application/json", Bytes::from_static(b"{}")),
-        Err(ShardFault::NotServed) => answer::not_run("shard not served", Some(id)),
-        Err(ShardFault::Full) => answer::not_run("shard full", Some(id)),
+    match result {
+        Ok(_) => {
+            response::full(StatusCode::ACCEPTED, "application/json", Bytes::from_static(b"{}"))
+        }
+        Err(ShardFault::NotServed) => response::not_run("shard not served", Some(id)),
+        Err(ShardFault::Full) => response::not_run("shard full", Some(id)),
         Err(ShardFault::Taken) => {
             let remedy = "it was not taken: send it under an id of its own";
-            answer::refuse(StatusCode::CONFLICT, "id taken", remedy, Some(id))
+            response::refuse(StatusCode::CONFLICT, "id taken", remedy, Some(id))
         }
-        Err(_) => unknown(Some(id)),
+        Err(_) => unknown_outcome(Some(id)),
     }
 }
 
-fn unknown(id: Option<&str>) -> Response<FrontBody> {
+fn unknown_outcome(id: Option<&str>) -> Response<FrontBody> {
     let remedy = "it may be kept: send it again under the same id";
-    answer::refuse(StatusCode::BAD_GATEWAY, "outcome unknown", remedy, id)
+    response::refuse(StatusCode::BAD_GATEWAY, "outcome unknown", remedy, id)
 }
 
-/// Serves a call that concerns a job, as `customer` asks it.
+/// Serves a call about a job on behalf of `customer`.
 pub async fn serve_call(
     client: &ShardClient,
     call: JobCall,
@@ -392,7 +400,7 @@
     match call {
         JobCall::Read { job, from } => read(client, customer, &job, from, wait).await,
         JobCall::Body { job, item } => item_body(client, customer, &job, &item).await,
-        JobCall::End { job } => end(client, customer, &job).await,
+        JobCall::End { job } => end_job(client, customer, &job).await,
     }
 }
 
@@ -403,26 +411,29 @@
     from: u32,
     wait: Option<Duration>,
 ) -> Response<FrontBody> {
-    let wait = wait.unwrap_or_default().min(MOST_WAIT);
+    let wait = wait.unwrap_or_default().min(MAX_READ_WAIT);
     let body = |shard: ShardIndex| {
         shard_request::Body::Read(JobRead {
             shard: shard.get(),
             job: job.to_owned(),
             from,
             wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
-            max_bytes: PAGE_BYTES,
+            max_bytes: MAX_PAGE_BYTES,
             customer: customer.to_owned(),
         })
     };
-    match client.ask_job(job, wait + READ_SLACK, body).await {
+    match client.call_for_job(job, wait + READ_TIMEOUT_MARGIN, body).await {
         Ok(shard_response::Body::Page(page)) => {
             let results = page.results.len();
             let texts = page.results.iter().map(|result| unpack_text(&result.packed_text));
             let texts: Vec<Vec<u8>> = match texts.collect() {
                 Ok(texts) => texts,
                 Err(error) => {
-                    log::error!(target: "entry", job = job, error:% = error; "page refused");
-                    return uncertain(client, "read", job, ShardFault::Unknown);
+                    log::error!(
+                        target: "entry", job = job, error:% = error;
+                        "results page could not be unpacked"
+                    );
+                    return failed_call(client, "read", job, ShardFault::Unknown);
                 }
             };
             let page = calls::write_page(&page, &texts, from);
@@ -430,10 +441,10 @@
                 target: "entry", job = job, from = from, results = results, bytes = page.len();
                 "page read"
             );
-            answer::whole(StatusCode::OK, "application/json", Bytes::from(page))
+            response::full(StatusCode::OK, "application/json", Bytes::from(page))
         }
-        Ok(_) => uncertain(client, "read", job, ShardFault::Unknown),
-        Err(fault) => uncertain(client, "read", job, fault),
+        Ok(_) => failed_call(client, "read", job, ShardFault::Unknown),
+        Err(fault) => failed_call(client, "read", job, fault),
     }
 }
 
@@ -447,47 +458,46 @@
         let (job, item, customer) = (job.to_owned(), item.to_owned(), customer.to_owned());
         shard_request::Body::ItemBodyRead(ItemBodyRead { shard: shard.get(), job, item, customer })
     };
-    match client.ask_job(job, CALL_TIME, body).await {
+    match client.call_for_job(job, CALL_TIMEOUT, body).await {
         Ok(shard_response::Body::Bytes(bytes)) => {
-            answer::whole(StatusCode::OK, "application/octet-stream", Bytes::from(bytes.body))
+            response::full(StatusCode::OK, "application/octet-stream", Bytes::from(bytes.body))
         }
-        Ok(_) => uncertain(client, "body", job, ShardFault::Unknown),
-        Err(fault) => uncertain(client, "body", job, fault),
+        Ok(_) => failed_call(client, "body", job, ShardFault::Unknown),
+        Err(fault) => failed_call(client, "body", job, fault),
     }
 }
 
-async fn end(client: &ShardClient, customer: &str, job: &str) -> Response<FrontBody> {
+async fn end_job(client: &ShardClient, customer: &str, job: &str) -> Response<FrontBody> {
     let body = |shard: ShardIndex| {
         let (job, customer) = (job.to_owned(), customer.to_owned());
         shard_request::Body::End(JobEnd { shard: shard.get(), job, customer })
     };
-    match client.ask_job(job, CALL_TIME, body).await {
+    match client.call_for_job(job, CALL_TIMEOUT, body).await {
         Ok(_) => {
-            log::info!(target: "entry", job = job, outcome = "ended"; "job end asked");
-            answer::whole(StatusCode::OK, "application/json", Bytes::from_static(b"{}"))
+            log::info!(target: "entry", job = job, outcome = "ended"; "job end requested");
+            response::full(StatusCode::OK, "application/json", Bytes::from_static(b"{}"))
         }
-        Err(fault) => uncertain(client, "end", job, fault),
+        Err(fault) => failed_call(client, "end", job, fault),
     }
 }
 
-/// The answer to a call that got none from the shard. Only the shard's server itself can be
-/// sure that there is no such job.
-fn uncertain(
+/// Creates the response to a call that failed at the shards.
+fn failed_call(
     client: &ShardClient,
-    what: &'static str,
+    operation: &'static str,
     job: &str,
     fault: ShardFault,
 ) -> Response<FrontBody> {
-    client.view.metrics.count_outcome("job_call", what);
-    log::info!(target: "entry", job = job, call = what, fault:? = fault; "job call failed");
+    client.view.metrics.count_outcome("job_call", operation);
+    log::info!(target: "entry", job = job, call = operation, fault:? = fault; "job call failed");
     match fault {
-        ShardFault::NoJob | ShardFault::NoItem => answer::refuse(
+        ShardFault::NoJob | ShardFault::NoItem => response::refuse(
             StatusCode::NOT_FOUND,
             "not found",
             "check the ids: nothing is held under them",
             None,
         ),
-        ShardFault::Unknown if what == "end" => unknown(None),
-        _ => answer::not_run("shard not served", None),
+        ShardFault::Unknown if operation == "end" => unknown_outcome(None),
+        _ => response::not_run("shard not served", None),
     }
 }
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -1,19 +1,19 @@
-//! The entry role: callers' requests to targets, trainers' calls to the shards of jobs.
+//! The entry role: forwards callers' requests to targets and trainers' calls to the job shards.
 //!
-//! An entry box lets in whom the configuration in force knows, and keeps nothing. It knows the configuration, the targets and who serves which
-//! shard, all from followers, and answers every request at once when it gives it up: with a
-//! promise that it has not run only where that is certain.
+//! An entry box authenticates callers by the active configuration and stores no data. It tracks the
+//! configuration, the targets and the assignments of shards to boxes. When it gives up a request it
+//! responds immediately, and says that the request did not run only if that is certain.
 
 mod admission;
-mod answer;
 mod isolation;
 mod jobs_api;
 mod plain;
+mod response;
 mod role;
 mod search;
 mod server;
 mod stream;
 
-pub use isolation::ReachDoubt;
+pub use isolation::ReachabilityAlarm;
 pub use role::{EntryListeners, run_entry};
-pub use search::{JobPlaces, JobSearch, ShardFault};
+pub use search::{JobLocations, JobSearch, ShardFault};
--- a/crates/front/src/plain.rs
+++ b/crates/front/src/plain.rs
@@ -1,4 +1,4 @@
-//! Plain requests.
+//! Plain requests: one request, one complete response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,47 +15,47 @@
 use tokio::time::{self, Instant};
 
 use crate::admission::AdmittedRequest;
-use crate::answer::{self, FrontBody};
+use crate::response::{self, FrontBody};
 
-/// Time that a caller is assumed to wait if it does not say.
-const DEFAULT_TIME: Duration = Duration::from_secs(10);
+/// Timeout of callers that don't send one.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Why a body was not read.
+/// Why a request body could not be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum BodyFault {
-    /// It is longer than the configuration allows.
+pub enum BodyError {
+    /// The body is longer than the configured limit.
     TooLong,
-    /// The caller broke off.
+    /// The caller disconnected.
     Broken,
 }
 
-/// Reads a caller's whole body, `most` bytes at most.
-pub async fn read_body(mut body: Incoming, most: usize) -> Result<Bytes, BodyFault> {
-    if body.size_hint().lower() > most as u64 {
-        return Err(BodyFault::TooLong);
+/// Reads a complete request body of at most `max_bytes`.
+pub async fn read_body(mut body: Incoming, max_bytes: usize) -> Result<Bytes, BodyError> {
+    if body.size_hint().lower() > max_bytes as u64 {
+        return Err(BodyError::TooLong);
     }
     let mut bytes = BytesMut::new();
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|_broken| BodyFault::Broken)?;
+        let frame = frame.map_err(|_broken| BodyError::Broken)?;
         let Ok(data) = frame.into_data() else { continue };
-        if bytes.len() + data.len() > most {
-            return Err(BodyFault::TooLong);
+        if bytes.len() + data.len() > max_bytes {
+            return Err(BodyError::TooLong);
         }
         bytes.extend_from_slice(&data);
     }
     Ok(bytes.freeze())
 }
 
-/// The answer to a caller whose body could not be read.
-pub fn body_fault(fault: BodyFault, request_id: Option<&str>) -> Response<FrontBody> {
-    match fault {
-        BodyFault::TooLong => answer::refuse(
+/// Creates the response to a request whose body could not be read.
+pub fn body_error_response(error: BodyError, request_id: Option<&str>) -> Response<FrontBody> {
+    match error {
+        BodyError::TooLong => response::refuse(
             StatusCode::PAYLOAD_TOO_LARGE,
             "body_too_long",
             "send a body within the configured limit",
             request_id,
         ),
-        BodyFault::Broken => answer::refuse(
+        BodyError::Broken => response::refuse(
             StatusCode::BAD_REQUEST,
             "body_broken",
             "send the whole body",
@@ -64,10 +64,9 @@
     }
 }
 
-/// When a request must have its final answer: the caller's time or the route's, whichever is
-/// shorter.
+/// Returns the deadline of a request: the shorter of the caller's timeout and the route's.
 pub fn deadline(head: &Parts, route: &Route, received: Instant) -> Instant {
-    let caller = headers::time_left(&head.headers).unwrap_or(DEFAULT_TIME);
+    let caller = headers::time_left(&head.headers).unwrap_or(DEFAULT_TIMEOUT);
     received + route.timeout.map_or(caller, |timeout| timeout.min(caller))
 }
 
@@ -96,14 +95,14 @@
         is_background: false,
         customer: admitted.caller.customer().cloned(),
     };
-    let end = time::timeout_at(deadline, call_plain(view, call)).await;
-    let (outcome, response) = match end {
-        Ok(PlainOutcome::Answered(whole)) => ("answered", answer::pass_on(whole)),
-        Ok(PlainOutcome::NotRun(reason)) => ("not run", answer::not_run(reason, Some(&id))),
-        Ok(PlainOutcome::Quarantined) => ("condemned", answer::condemned(&id)),
+    let result = time::timeout_at(deadline, call_plain(view, call)).await;
+    let (outcome, response) = match result {
+        Ok(PlainOutcome::Answered(full_response)) => ("answered", response::forward(full_response)),
+        Ok(PlainOutcome::NotRun(reason)) => ("not run", response::not_run(reason, Some(&id))),
+        Ok(PlainOutcome::Quarantined) => ("condemned", response::quarantined(&id)),
         Ok(PlainOutcome::Unknown(reason)) => (
             "unknown",
-            answer::refuse(
+            response::refuse(
                 StatusCode::BAD_GATEWAY,
                 reason,
                 "it may have run: send it again only if it may be repeated",
@@ -112,7 +111,7 @@
         ),
         Err(_elapsed) => (
             "out of time",
-            answer::refuse(
+            response::refuse(
                 StatusCode::GATEWAY_TIMEOUT,
                 "out of time",
                 "it may have run: send it again only if it may be repeated",
--- a/crates/front/src/role.rs
+++ b/crates/front/src/role.rs
@@ -1,4 +1,4 @@
-//! Start and stop of an entry box.
+//! Startup and shutdown of an entry box.
 
 use std::io;
 use std::sync::Arc;
@@ -19,31 +19,33 @@
 use crate::jobs_api::ShardClient;
 use crate::server::{FrontState, serve_front, serve_ready};
 
-/// Changes of targets gather for this long between two watches: each watch has its price, and
-/// targets must be left within two seconds.
-const GATHER_TARGETS: Duration = Duration::from_millis(1_200);
-/// Changes of duties gather for this long.
-const GATHER_DUTIES: Duration = Duration::from_millis(100);
-/// After a request to stop, how long the platform needs to send new callers elsewhere.
-const NOTICE_TIME: Duration = Duration::from_millis(2_500);
-/// Left of the time to stop in when what is still in flight is cut.
+/// How long target changes are batched between two watches of the store. Watches are costly, but a
+/// leaving target must be noticed within two seconds.
+const TARGET_BATCH_DELAY: Duration = Duration::from_millis(1_200);
+/// How long assignment changes are batched between two watches of the store.
+const ASSIGNMENT_BATCH_DELAY: Duration = Duration::from_millis(100);
+/// Time that the platform needs to redirect new callers after a request to stop.
+const READINESS_NOTICE_TIME: Duration = Duration::from_millis(2_500);
+/// Time reserved at the end of the grace period; requests still in flight are cut off when it
+/// starts.
 const STOP_MARGIN: Duration = Duration::from_millis(500);
-/// Time for the counts of the last requests to be told: the wait of a feed's question, and its way.
-const LAST_COUNTS: Duration = Duration::from_millis(600);
-/// How often a stopping box looks whether all requests have ended.
-const STOP_LOOK: Duration = Duration::from_millis(50);
+/// Maximum wait for the final usage counts to be reported: the long poll of the feed and its
+/// transit time.
+const USAGE_REPORT_TIMEOUT: Duration = Duration::from_millis(600);
+/// How often a stopping box checks whether all requests have ended.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Where an entry box is asked.
+/// Listening sockets of an entry box.
 #[derive(Debug)]
 pub struct EntryListeners {
-    /// Callers.
+    /// Socket for callers.
     pub front: TcpListener,
-    /// The platform, about readiness.
+    /// Socket for the platform's readiness checks.
     pub ready: TcpListener,
 }
 
 impl EntryListeners {
-    /// Binds the addresses that the settings name.
+    /// Binds the addresses from the settings; fails if one is missing or in use.
     pub async fn bind(settings: &NodeSettings) -> io::Result<Self> {
         let (Some(front), Some(ready)) = (settings.front, settings.ready) else {
             return Err(io::Error::other("--front and --ready are missing: give both as IP:PORT"));
@@ -52,11 +54,11 @@
     }
 }
 
-/// Runs an entry box until `asked` returns, and then stops calmly.
+/// Runs an entry box until `stop_requested` resolves, then shuts it down gracefully.
 pub async fn run_entry(
     settings: NodeSettings,
     listeners: EntryListeners,
-    asked: impl Future<Output = io::Result<()>>,
+    stop_requested: impl Future<Output = io::Result<()>>,
 ) -> io::Result<()> {
     let EntryListeners { front, ready } = listeners;
     let store = ObjectStore::new(&settings.store.to_string()).map_err(io::Error::other)?;
@@ -64,76 +66,84 @@
     let link_settings = LinkSettings { me: settings.box_id.clone(), key: settings.key.clone() };
     let metrics = settings.metrics;
     let view = Arc::new(NodeView::new(settings, store));
-    let end = CancellationToken::new();
+    let shutdown = CancellationToken::new();
     log::info!(target: "entry", front:? = front.local_addr().ok(), store:% = view.settings.store; "started");
     if let Some(address) = metrics {
         tokio::spawn(serve_metrics(Arc::clone(&view), address));
     }
     tokio::spawn(log_counters(Arc::clone(&view)));
-    let links = LinkPool::new(link_settings, end.clone());
-    start_followers(&view, &links, &end);
-    tokio::spawn(sync_suspects(Arc::clone(&view), false, end.clone()));
+    let links = LinkPool::new(link_settings, shutdown.clone());
+    start_followers(&view, &links, &shutdown);
+    tokio::spawn(sync_suspects(Arc::clone(&view), false, shutdown.clone()));
     let shards = ShardClient::new(Arc::clone(&view), links);
-    tokio::spawn(watch_isolation(Arc::clone(&view), shards.clone(), end.clone()));
+    tokio::spawn(watch_isolation(Arc::clone(&view), shards.clone(), shutdown.clone()));
     let state = FrontState::new(view, shards, CancellationToken::new());
-    let served = serve_front(state.clone(), front, end.clone());
-    let readiness = serve_ready(state.clone(), ready, end.clone());
+    let front_server = serve_front(state.clone(), front, shutdown.clone());
+    let ready_server = serve_ready(state.clone(), ready, shutdown.clone());
     tokio::select! {
-        ended = served => ended,
-        ended = readiness => ended,
-        stopped = async { asked.await?; stop_calmly(&state, grace).await; Ok(()) } => {
-            end.cancel();
+        ended = front_server => ended,
+        ended = ready_server => ended,
+        stopped = async { stop_requested.await?; stop_gracefully(&state, grace).await; Ok(()) } => {
+            shutdown.cancel();
             stopped
         }
     }
 }
 
-/// Follows what an entry box needs to know, told by a box that keeps data where one tells.
-fn start_followers(view: &Arc<NodeView>, links: &LinkPool, end: &CancellationToken) {
-    let v = || Arc::clone(view);
-    let none = Duration::ZERO;
+/// Starts the watchers of the stored state that an entry box needs. They are served by the feed of
+/// a storage box if one is available.
+fn start_followers(view: &Arc<NodeView>, links: &LinkPool, shutdown: &CancellationToken) {
+    let shared_view = || Arc::clone(view);
+    let no_delay = Duration::ZERO;
     view.feed.set_receive_only();
-    let mut config = KindWatcher::new(view, Kind::Configuration, none, ConfigSink(v()));
-    let mut targets = KindWatcher::new(view, Kind::Targets, GATHER_TARGETS, TargetSink::new(v()));
-    let mut duties = KindWatcher::new(view, Kind::ClusterState, GATHER_DUTIES, AssignmentSink(v()));
-    // It tells which boxes to ask, and whom to hand jobs to; who is asked in vain says so.
-    duties.allow_stale_first_list();
-    // Requests are served by what is known, and there are hundreds of these boxes.
+    let mut config =
+        KindWatcher::new(view, Kind::Configuration, no_delay, ConfigSink(shared_view()));
+    let mut targets =
+        KindWatcher::new(view, Kind::Targets, TARGET_BATCH_DELAY, TargetSink::new(shared_view()));
+    let mut assignments = KindWatcher::new(
+        view,
+        Kind::ClusterState,
+        ASSIGNMENT_BATCH_DELAY,
+        AssignmentSink(shared_view()),
+    );
+    // A stale assignment is acceptable: a box that doesn't serve a shard refuses the call.
+    assignments.allow_stale_first_list();
+    // Requests are served from the cached state, and hundreds of these boxes would probe the store.
     config.defer_recovery_probe();
-    let mut fed = vec![config.feed(), targets.feed(), duties.feed()];
+    let mut feeds = vec![config.feed(), targets.feed(), assignments.feed()];
     if view.settings.evacuations {
-        let sink = EvacuationSink(v());
-        let mut evacuations = KindWatcher::new(view, Kind::Evacuations, none, sink);
-        fed.push(evacuations.feed());
-        tokio::spawn(evacuations.run(end.clone()));
+        let sink = EvacuationSink(shared_view());
+        let mut evacuations = KindWatcher::new(view, Kind::Evacuations, no_delay, sink);
+        feeds.push(evacuations.feed());
+        tokio::spawn(evacuations.run(shutdown.clone()));
     }
-    tokio::spawn(config.run(end.clone()));
-    tokio::spawn(targets.run(end.clone()));
-    tokio::spawn(duties.run(end.clone()));
-    tokio::spawn(follow_feed(v(), links.clone(), fed, end.clone()));
+    tokio::spawn(config.run(shutdown.clone()));
+    tokio::spawn(targets.run(shutdown.clone()));
+    tokio::spawn(assignments.run(shutdown.clone()));
+    tokio::spawn(follow_feed(shared_view(), links.clone(), feeds, shutdown.clone()));
 }
 
-/// Waits until another box has heard what was counted of the last requests, for a feed's wait at most.
-async fn tell_counts_of_last(state: &FrontState, last: Instant) {
-    let until = last.min(Instant::now() + LAST_COUNTS);
-    while Instant::now() < until && !state.view.usage.is_fully_reported() {
-        time::sleep(STOP_LOOK).await;
+/// Waits until another box has received all usage counts, or until the timeout or `deadline`.
+async fn wait_for_usage_report(state: &FrontState, deadline: Instant) {
+    let report_deadline = deadline.min(Instant::now() + USAGE_REPORT_TIMEOUT);
+    while Instant::now() < report_deadline && !state.view.usage.is_fully_reported() {
+        time::sleep(STOP_POLL_INTERVAL).await;
     }
 }
 
-/// Turns new callers away and lets requests in flight end.
-async fn stop_calmly(state: &FrontState, grace: Duration) {
-    let asked = Instant::now();
+/// Refuses new callers and waits for the requests in flight.
+async fn stop_gracefully(state: &FrontState, grace: Duration) {
+    let started = Instant::now();
     log::info!(target: "entry", in_flight = state.in_flight(); "stopping");
     state.stopping.cancel();
-    let last = asked + grace.saturating_sub(STOP_MARGIN);
-    while Instant::now() < last {
-        let noticed = asked.elapsed() >= NOTICE_TIME;
-        if noticed && state.in_flight() == 0 {
+    let deadline = started + grace.saturating_sub(STOP_MARGIN);
+    while Instant::now() < deadline {
+        let notice_given = started.elapsed() >= READINESS_NOTICE_TIME;
+        if notice_given && state.in_flight() == 0 {
             break;
         }
-        time::sleep(STOP_LOOK).await;
+        time::sleep(STOP_POLL_INTERVAL).await;
     }
-    tell_counts_of_last(state, last).await;
+    wait_for_usage_report(state, deadline).await;
     log::info!(target: "entry", in_flight = state.in_flight(); "stopped");
 }
--- a/crates/front/src/search.rs
+++ b/crates/front/src/search.rs
@@ -1,99 +1,98 @@
-//! The search for a job among the shards, and what may be said when none has answered.
+//! Search for a job among the shards, and the combined result if no shard returns it.
 //!
-//! A job's id does not tell its trainer, so an entry box that has not heard of a job asks the servers of all
-//! shards at once whether they hold it, and remembers where it is. Where none says so, that is
-//! the whole truth only once all of them are sure: a job that is kept by a shard without a server, or
-//! by one that did not answer, must not be called unknown.
+//! A job's id doesn't determine its shard. For a job that is not cached, an entry box queries the
+//! servers of all shards at once and caches the location. The job is unknown only if every shard
+//! says so: it may be on a shard that has no server or did not respond.
 
 use std::collections::{HashMap, VecDeque};
 
 use ids::ShardIndex;
 
-/// Jobs remembered: those of some minutes at hundreds of trainers' calls a box, in a few tens of kilobytes.
-const MOST_PLACES: usize = 512;
+/// Maximum number of cached job locations.
+const MAX_LOCATIONS: usize = 512;
 
-/// Which shards hold the jobs that this box has heard of lately.
+/// Bounded cache of the shards that hold recently used jobs.
 #[derive(Debug, Default)]
-pub struct JobPlaces {
+pub struct JobLocations {
     shards: HashMap<String, ShardIndex>,
-    /// In the order in which they were first heard of.
+    /// Job ids in insertion order.
     order: VecDeque<String>,
 }
 
-impl JobPlaces {
-    /// The shard that holds a job, if it is remembered.
+impl JobLocations {
+    /// Returns the shard that holds a job, if it is cached.
     pub fn shard(&self, job: &str) -> Option<ShardIndex> {
         self.shards.get(job).copied()
     }
 
-    /// Remembers which shard holds a job, in place of the job that was heard of first.
+    /// Caches which shard holds a job; evicts the oldest entry if the cache is full.
     pub fn put(&mut self, job: &str, shard: ShardIndex) {
         if self.shards.insert(job.to_owned(), shard).is_some() {
             return;
         }
         self.order.push_back(job.to_owned());
-        if self.order.len() > MOST_PLACES
-            && let Some(first) = self.order.pop_front()
+        if self.order.len() > MAX_LOCATIONS
+            && let Some(oldest) = self.order.pop_front()
         {
-            self.shards.remove(&first);
+            self.shards.remove(&oldest);
         }
     }
 
-    /// Forgets a job that its shard does not hold any more.
+    /// Removes a job that its shard no longer holds.
     pub fn forget(&mut self, job: &str) {
         if self.shards.remove(job).is_some() {
-            self.order.retain(|known| known != job);
+            self.order.retain(|other| other != job);
         }
     }
 }
 
-/// How a call to a shard ended without an answer.
+/// Why a call to a shard returned no result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShardFault {
-    /// Nobody serves the shard now, or its server could not be reached: nothing was done.
+    /// The shard has no server or the server is unreachable; the call was not executed.
     NotServed,
-    /// It may have been done.
+    /// The call may have been executed.
     Unknown,
-    /// There is no such job.
+    /// The shard holds no such job.
     NoJob,
     /// The job has no such item.
     NoItem,
-    /// The shard has no room.
+    /// The shard has no capacity.
     Full,
-    /// Another customer's job has the id.
+    /// The id belongs to another customer's job.
     Taken,
 }
 
-/// What is known after some shards have failed to answer.
+/// Combines the faults of several shards into one result.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct JobSearch {
     worst: Option<ShardFault>,
 }
 
 impl JobSearch {
-    /// Takes how one shard failed to answer; `true` when no other can know more.
+    /// Records the fault of one shard; returns `true` if the search can stop.
     pub fn failed(&mut self, fault: ShardFault) -> bool {
-        if self.worst.is_none_or(|worst| doubt(fault) > doubt(worst)) {
+        if self.worst.is_none_or(|worst| uncertainty(fault) > uncertainty(worst)) {
             self.worst = Some(fault);
         }
-        // The shard holds the job.
+        // The shard holds the job, so no other shard does.
         fault == ShardFault::NoItem
     }
 
-    /// What holds once no shard is left to be asked; where there is none, none is served.
+    /// Returns the combined fault; `NotServed` if there were no shards.
     pub fn end(self) -> ShardFault {
         self.worst.unwrap_or(ShardFault::NotServed)
     }
 }
 
-/// How much a fault leaves open: only what every shard agrees on is sure.
-const fn doubt(fault: ShardFault) -> u8 {
+/// Ranks faults by how uncertain they leave the result; the most uncertain fault wins.
+const fn uncertainty(fault: ShardFault) -> u8 {
     match fault {
         ShardFault::NoJob => 0,
         ShardFault::Full | ShardFault::Taken => 1,
         ShardFault::NotServed => 2,
         ShardFault::Unknown => 3,
-        // Said by the shard that holds the job, whatever the others say.
+        // Reported by the shard that holds the job, so it overrides all others.
         ShardFault::NoItem => 4,
     }
 }
--- a/crates/front/src/server.rs
+++ b/crates/front/src/server.rs
@@ -1,4 +1,4 @@
-//! Connections of callers, and the readiness page.
+//! Connections of callers and the readiness endpoint.
 
 use std::io;
 use std::sync::Arc;
@@ -20,24 +20,24 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::admission::{admit, host_of, identify, path_of};
-use crate::answer::{self, FrontBody, Served};
 use crate::jobs_api::{self, ShardClient};
-use crate::plain::{body_fault, read_body, serve_plain};
+use crate::plain::{body_error_response, read_body, serve_plain};
+use crate::response::{self, FrontBody, ServeResult};
 use crate::stream::serve_stream;
 
-/// Pause after a failed accept, such as one for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Smallest read buffer that the HTTP library takes.
-const LEAST_BUFFER: usize = 8 << 10;
+/// Delay after a failed accept, for example when file descriptors run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Minimum read buffer size that the HTTP library accepts, in bytes.
+const MIN_READ_BUFFER: usize = 8 << 10;
 
-/// What all connections of an entry box share.
+/// State shared by all connections of an entry box.
 #[derive(Debug, Clone)]
 pub struct FrontState {
-    /// The box's belief.
+    /// The box's view of the deployment.
     pub view: Arc<NodeView>,
-    /// The way to the shards.
+    /// Client for the job shards.
     pub shards: ShardClient,
-    /// Set once the box is asked to stop.
+    /// Cancelled when the box is asked to stop.
     pub stopping: CancellationToken,
     counts: Arc<FrontCounts>,
 }
@@ -50,19 +50,19 @@
 }
 
 impl FrontState {
-    /// State of a box that serves nobody yet.
+    /// Creates the state of a box without connections.
     pub fn new(view: Arc<NodeView>, shards: ShardClient, stopping: CancellationToken) -> Self {
         Self { view, shards, stopping, counts: Arc::default() }
     }
 
-    /// Requests being served.
+    /// Number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.counts.requests.load(Ordering::Relaxed)
     }
 
     fn is_ready(&self) -> bool {
-        let able = self.view.is_configured() && !self.view.is_isolated();
-        let ready = able && !self.stopping.is_cancelled();
+        let is_operational = self.view.is_configured() && !self.view.is_isolated();
+        let ready = is_operational && !self.stopping.is_cancelled();
         if self.counts.ready.swap(ready, Ordering::Relaxed) != ready {
             log::info!(
                 target: "entry", ready = ready, config = self.view.table().version.get(),
@@ -74,31 +74,31 @@
     }
 }
 
-/// Counts a request for as long as it is served.
-struct InFlight(FrontState);
+/// Counts a request as in flight until it is dropped.
+struct RequestGuard(FrontState);
 
-impl InFlight {
+impl RequestGuard {
     fn new(state: &FrontState) -> Self {
         state.counts.requests.fetch_add(1, Ordering::Relaxed);
         Self(state.clone())
     }
 }
 
-impl Drop for InFlight {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.0.counts.requests.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// Serves callers until `end`.
+/// Accepts and serves callers until `shutdown` is cancelled.
 pub async fn serve_front(
     state: FrontState,
     listener: TcpListener,
-    end: CancellationToken,
+    shutdown: CancellationToken,
 ) -> io::Result<()> {
     loop {
         let accepted = tokio::select! {
-            () = end.cancelled() => return Ok(()),
+            () = shutdown.cancelled() => return Ok(()),
             accepted = listener.accept() => accepted,
         };
         match accepted {
@@ -107,15 +107,15 @@
             }
             Err(error) => {
                 log::warn!(target: "entry", error:% = error; "accept failed, pausing");
-                time::sleep(ACCEPT_PAUSE).await;
+                time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
 async fn serve_connection(state: FrontState, stream: TcpStream) {
-    // Without it only small answers come later.
-    let _slower = stream.set_nodelay(true);
+    // Best effort: without it small responses are delayed.
+    let _nodelay = stream.set_nodelay(true);
     state.counts.connections.fetch_add(1, Ordering::Relaxed);
     let limits = state.view.table().limits;
     let service = {
@@ -125,14 +125,14 @@
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle)
-        .max_buf_size(limits.header_bytes.max(LEAST_BUFFER) * 2)
+        .max_buf_size(limits.header_bytes.max(MIN_READ_BUFFER) * 2)
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     tokio::select! {
-        // A caller that goes away ends its request here; that is not a fault of ours.
+        // The caller may disconnect at any time, which cancels its request.
         _ended = connection.as_mut() => {}
         () = state.stopping.cancelled() => {
-            // Answers from here on carry the word that the connection closes.
+            // Responses now carry `Connection: close`.
             connection.as_mut().graceful_shutdown();
             let _ended = connection.as_mut().await;
         }
@@ -140,19 +140,19 @@
     state.counts.connections.fetch_sub(1, Ordering::Relaxed);
 }
 
-async fn serve(state: FrontState, request: Request<Incoming>) -> Served {
+async fn serve(state: FrontState, request: Request<Incoming>) -> ServeResult {
     let received = Instant::now();
-    let _counted = InFlight::new(&state);
+    let _guard = RequestGuard::new(&state);
     let (head, body) = request.into_parts();
     let id = headers::request_id(&head.headers).map(str::to_owned);
     let table = state.view.table();
     if table.version.get() == 0 {
-        return Ok(answer::not_run("no configuration yet", id.as_deref()));
+        return Ok(response::not_run("no configuration yet", id.as_deref()));
     }
     if let Some(call) = calls::read_call(&head.method, path_of(&head))
         && table.takes_jobs(host_of(&head))
     {
-        // Jobs are a customer's own: without a key there is nothing to ask for.
+        // Jobs belong to customers, so the key is required even on public routes.
         let caller = match identify(&state.view, &table, &head, false) {
             Ok(caller) => caller,
             Err(refusal) => return Ok(*refusal),
@@ -165,9 +165,9 @@
     }
     let body = match read_body(body, table.limits.body_bytes).await {
         Ok(body) => body,
-        Err(fault) => return Ok(body_fault(fault, id.as_deref())),
+        Err(error) => return Ok(body_error_response(error, id.as_deref())),
     };
-    // Long bodies take their time: the key may have been taken away meanwhile.
+    // The key may have been revoked while a long body was read.
     let admitted = match admit(&state.view, &head) {
         Ok(admitted) => admitted,
         Err(refusal) => return Ok(*refusal),
@@ -183,38 +183,38 @@
     })
 }
 
-/// Serves the readiness page until `end`.
+/// Serves the readiness endpoint until `shutdown` is cancelled.
 pub async fn serve_ready(
     state: FrontState,
     listener: TcpListener,
-    end: CancellationToken,
+    shutdown: CancellationToken,
 ) -> io::Result<()> {
     loop {
         let accepted = tokio::select! {
-            () = end.cancelled() => return Ok(()),
+            () = shutdown.cancelled() => return Ok(()),
             accepted = listener.accept() => accepted,
         };
         let Ok((stream, _peer)) = accepted else {
-            time::sleep(ACCEPT_PAUSE).await;
+            time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let state = state.clone();
         tokio::spawn(async move {
             let service = service_fn(move |request| {
-                std::future::ready(Served::Ok(ready_page(&state, &request)))
+                std::future::ready(ServeResult::Ok(readiness_response(&state, &request)))
             });
-            // A broken question is asked again a second later.
+            // The platform repeats a failed check.
             let _ended =
                 http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
         });
     }
 }
 
-fn ready_page(state: &FrontState, request: &Request<Incoming>) -> Response<FrontBody> {
+fn readiness_response(state: &FrontState, request: &Request<Incoming>) -> Response<FrontBody> {
     if request.uri().path() != calls::READY_PATH {
         let remedy = "ask the readiness path";
-        return answer::refuse(StatusCode::NOT_FOUND, "no page", remedy, None);
+        return response::refuse(StatusCode::NOT_FOUND, "no page", remedy, None);
     }
     let status = if state.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-    answer::whole(status, "application/json", Bytes::from_static(b"{}"))
+    response::full(status, "application/json", Bytes::from_static(b"{}"))
 }
--- a/crates/front/src/stream.rs
+++ b/crates/front/src/stream.rs
@@ -1,4 +1,5 @@
-//! Requests whose answer is a stream: passed on as it comes, sent to one target only.
+//! Streaming requests: each runs at one target at most, and the response is forwarded as it
+//! arrives.
 
 use std::sync::Arc;
 
@@ -18,15 +19,15 @@
 use upstream::{SendError, TargetResponse};
 
 use crate::admission::AdmittedRequest;
-use crate::answer::{self, FrontBody, StreamBroken};
 use crate::plain::deadline;
+use crate::response::{self, FrontBody, StreamBroken};
 
-/// Targets that may turn a stream away before it is refused.
-const TRIES: u32 = 4;
-/// Pieces that wait for a caller who reads slowly.
-const PIECES: usize = 16;
+/// Maximum number of targets that are tried for one stream.
+const MAX_TARGETS_TRIED: u32 = 4;
+/// Maximum number of body chunks buffered for a slow caller.
+const STREAM_BUFFER_CHUNKS: usize = 16;
 
-/// Serves a stream on its route.
+/// Serves a streaming request on its route.
 pub async fn serve_stream(
     view: &Arc<NodeView>,
     admitted: &AdmittedRequest,
@@ -42,69 +43,69 @@
     admitted.name_customer(&mut sent_headers);
     let work = request_work(&head.method, &head.headers, &head.uri, &body);
     let mut tried: Vec<InstanceId> = Vec::new();
-    for _ in 0..TRIES {
-        let need =
+    for _ in 0..MAX_TARGETS_TRIED {
+        let requirements =
             WorkRequirements { work, tried: &tried, allow_tried: false, is_background: false };
-        let slot = match choose_target(view, route, &need) {
+        let slot = match choose_target(view, route, &requirements) {
             TargetChoice::Target(slot) => slot,
             TargetChoice::None => break,
-            TargetChoice::Quarantined => return condemned(view, route, &id, work),
+            TargetChoice::Quarantined => return quarantined(view, route, &id, work),
         };
-        let place = slot.slot();
+        let target = slot.slot();
         let mut request = Request::new(Full::new(body.clone()));
         *request.method_mut() = head.method.clone();
         *request.uri_mut() = head.uri.clone();
         *request.headers_mut() = sent_headers.clone();
-        let left = deadline.saturating_duration_since(Instant::now());
-        headers::set_time_left(request.headers_mut(), left);
-        headers::set_instance(request.headers_mut(), &place.instance);
-        let sent = time::timeout_at(deadline, view.pool.send(place.address, request)).await;
-        let answer = match sent {
-            Ok(Ok(answer)) => answer,
+        let time_left = deadline.saturating_duration_since(Instant::now());
+        headers::set_time_left(request.headers_mut(), time_left);
+        headers::set_instance(request.headers_mut(), &target.instance);
+        let sent = time::timeout_at(deadline, view.pool.send(target.address, request)).await;
+        let target_response = match sent {
+            Ok(Ok(target_response)) => target_response,
             Ok(Err(SendError::NotSent(_))) => {
-                note_failure(view, place, TargetFailure::Broken);
-                tried.push(place.instance.clone());
+                record_failure(view, target, TargetFailure::Broken);
+                tried.push(target.instance.clone());
                 continue;
             }
             Ok(Err(SendError::LimitReached)) => break,
             Ok(Err(SendError::Broken(_))) => {
-                note_failure(view, place, TargetFailure::Broken);
-                record_disconnect(view, place, work);
-                return unknown(view, &id, work);
+                record_failure(view, target, TargetFailure::Broken);
+                record_disconnect(view, target, work);
+                return unknown_outcome(view, &id, work);
             }
             Err(_elapsed) => {
-                note_failure(view, place, TargetFailure::Broken);
-                return unknown(view, &id, work);
+                record_failure(view, target, TargetFailure::Broken);
+                return unknown_outcome(view, &id, work);
             }
         };
-        let facts = headers::response_info(answer.headers());
-        if facts.request_id.as_deref().is_some_and(|other| other != id) {
-            note_failure(view, place, TargetFailure::Broken);
-            return unknown(view, &id, work);
+        let info = headers::response_info(target_response.headers());
+        if info.request_id.as_deref().is_some_and(|other| other != id) {
+            record_failure(view, target, TargetFailure::Broken);
+            return unknown_outcome(view, &id, work);
         }
-        if answer.status() == StatusCode::MISDIRECTED_REQUEST {
-            note_failure(view, place, TargetFailure::Gone);
-            view.suspects().instance_gone(view.now(), &place.instance);
-            tried.push(place.instance.clone());
+        if target_response.status() == StatusCode::MISDIRECTED_REQUEST {
+            record_failure(view, target, TargetFailure::Gone);
+            view.suspects().instance_gone(view.now(), &target.instance);
+            tried.push(target.instance.clone());
             continue;
         }
-        if facts.not_run {
-            note_failure(view, place, TargetFailure::Full);
-            tried.push(place.instance.clone());
+        if info.not_run {
+            record_failure(view, target, TargetFailure::Full);
+            tried.push(target.instance.clone());
             continue;
         }
         view.metrics.count_outcome("stream", "begun");
         if let Some(customer) = admitted.caller.customer() {
             view.usage.count(view.now(), customer);
         }
-        return pass_stream(view, slot, answer, work);
+        return forward_stream(view, slot, target_response, work);
     }
     view.metrics.count_outcome("stream", "not run");
     log::info!(target: "entry", request = id.as_str(), route:% = route.name, outcome = "not run"; "request ended");
-    answer::not_run("no target free", Some(&id))
+    response::not_run("no target free", Some(&id))
 }
 
-fn condemned(view: &NodeView, route: &Route, id: &str, work: WorkDigest) -> Response<FrontBody> {
+fn quarantined(view: &NodeView, route: &Route, id: &str, work: WorkDigest) -> Response<FrontBody> {
     view.metrics.count_outcome("stream", "condemned");
     view.metrics.count_outcome("work", "condemned");
     log::info!(
@@ -112,15 +113,15 @@
         ends = view.suspects().crash_count(work), outcome = "condemned";
         "request ended"
     );
-    answer::condemned(id)
+    response::quarantined(id)
 }
 
-fn unknown(view: &NodeView, id: &str, work: WorkDigest) -> Response<FrontBody> {
+fn unknown_outcome(view: &NodeView, id: &str, work: WorkDigest) -> Response<FrontBody> {
     view.suspects().caller_unanswered(work);
     view.suspects_changed();
     view.metrics.count_outcome("stream", "unknown");
     log::info!(target: "entry", request = id, work:% = work, outcome = "unknown"; "request ended");
-    answer::refuse(
+    response::refuse(
         StatusCode::BAD_GATEWAY,
         "target broke off",
         "it may have run: send it again only if it may be repeated",
@@ -128,28 +129,28 @@
     )
 }
 
-fn note_failure(view: &NodeView, slot: &ChosenTarget, failure: TargetFailure) {
-    view.target_table().failed(view.now(), &slot.instance, failure);
+fn record_failure(view: &NodeView, target: &ChosenTarget, failure: TargetFailure) {
+    view.target_table().failed(view.now(), &target.instance, failure);
 }
 
-fn pass_stream(
+fn forward_stream(
     view: &Arc<NodeView>,
     slot: SlotGuard,
-    answer: TargetResponse,
+    target_response: TargetResponse,
     work: WorkDigest,
 ) -> Response<FrontBody> {
-    let (pieces, body) = Channel::new(PIECES);
+    let (chunks, body) = Channel::new(STREAM_BUFFER_CHUNKS);
     let mut response = Response::new(Either::Right(body));
-    *response.status_mut() = answer.status();
-    *response.headers_mut() = answer.headers().clone();
-    answer::clean(response.headers_mut());
+    *response.status_mut() = target_response.status();
+    *response.headers_mut() = target_response.headers().clone();
+    response::strip_target_headers(response.headers_mut());
     let view = Arc::clone(view);
     tokio::spawn(async move {
-        match copy_pieces(answer, pieces).await {
+        match copy_chunks(target_response, chunks).await {
             StreamEnd::Complete => view.suspects().succeeded(work),
-            StreamEnd::CallerLeft => {}
+            StreamEnd::CallerDisconnected => {}
             StreamEnd::Broken => {
-                note_failure(&view, slot.slot(), TargetFailure::Broken);
+                record_failure(&view, slot.slot(), TargetFailure::Broken);
                 record_disconnect(&view, slot.slot(), work);
                 view.suspects().caller_unanswered(work);
                 view.suspects_changed();
@@ -159,31 +160,32 @@
     response
 }
 
-/// How the body of a stream ended.
+/// How forwarding a response body ended.
 enum StreamEnd {
     Complete,
-    CallerLeft,
+    CallerDisconnected,
     Broken,
 }
 
-/// Copies a body; ends early when the caller is gone, which closes the target's connection.
-async fn copy_pieces(
-    mut answer: TargetResponse,
-    mut pieces: Sender<Bytes, StreamBroken>,
+/// Forwards a body until it ends. Stops early if the caller disconnects; dropping the response then
+/// closes the target's connection.
+async fn copy_chunks(
+    mut target_response: TargetResponse,
+    mut chunks: Sender<Bytes, StreamBroken>,
 ) -> StreamEnd {
     loop {
-        match answer.next().await {
-            Ok(Some(piece)) => {
-                if pieces.send_data(piece).await.is_err() {
-                    return StreamEnd::CallerLeft;
+        match target_response.next().await {
+            Ok(Some(chunk)) => {
+                if chunks.send_data(chunk).await.is_err() {
+                    return StreamEnd::CallerDisconnected;
                 }
             }
             Ok(None) => {
-                answer.reuse();
+                target_response.reuse();
                 return StreamEnd::Complete;
             }
             Err(_broken) => {
-                pieces.abort(StreamBroken);
+                chunks.abort(StreamBroken);
                 return StreamEnd::Broken;
             }
         }
--- a/crates/front/tests/isolation.rs
+++ b/crates/front/tests/isolation.rs
@@ -1,47 +1,47 @@
-//! Doubts that other failure domains are within reach: raised at once, standing until an answer comes.
+//! The reachability alarm: it wakes the waiter immediately and stays raised until it is cleared.
 
 use std::time::Duration;
 
-use front::ReachDoubt;
+use front::ReachabilityAlarm;
 use tokio::time::{self, Instant};
 
-const LOOK: Duration = Duration::from_millis(200);
+const INTERVAL: Duration = Duration::from_millis(200);
 
 #[tokio::test(start_paused = true)]
-async fn a_doubt_ends_the_wait_at_once() {
-    let doubt = ReachDoubt::default();
-    let begun = Instant::now();
+async fn alarm_ends_the_wait_immediately() {
+    let alarm = ReachabilityAlarm::default();
+    let start = Instant::now();
     let raised = async {
         time::sleep(Duration::from_millis(30)).await;
-        doubt.raise();
+        alarm.raise();
     };
-    tokio::join!(doubt.wait(LOOK), raised);
-    assert_eq!(begun.elapsed(), Duration::from_millis(30));
-    assert!(doubt.is_raised());
+    tokio::join!(alarm.wait(INTERVAL), raised);
+    assert_eq!(start.elapsed(), Duration::from_millis(30));
+    assert!(alarm.is_raised());
 }
 
 #[tokio::test(start_paused = true)]
-async fn without_a_doubt_the_wait_lasts() {
-    let doubt = ReachDoubt::default();
-    let begun = Instant::now();
-    doubt.wait(LOOK).await;
-    assert_eq!(begun.elapsed(), LOOK);
-    assert!(!doubt.is_raised());
+async fn wait_times_out_without_an_alarm() {
+    let alarm = ReachabilityAlarm::default();
+    let start = Instant::now();
+    alarm.wait(INTERVAL).await;
+    assert_eq!(start.elapsed(), INTERVAL);
+    assert!(!alarm.is_raised());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_doubt_stands_until_it_is_settled() {
-    let doubt = ReachDoubt::default();
-    doubt.raise();
-    doubt.wait(LOOK).await;
-    // Raised again while it stands, it tells nothing new: the box asks already.
-    doubt.raise();
-    let begun = Instant::now();
-    doubt.wait(LOOK).await;
-    assert_eq!(begun.elapsed(), LOOK);
-    assert!(doubt.is_raised());
-    doubt.settle();
-    doubt.raise();
-    doubt.wait(LOOK).await;
-    assert!(doubt.is_raised());
+async fn alarm_stays_raised_until_cleared() {
+    let alarm = ReachabilityAlarm::default();
+    alarm.raise();
+    alarm.wait(INTERVAL).await;
+    // Raising it again has no effect: a check is already in progress.
+    alarm.raise();
+    let start = Instant::now();
+    alarm.wait(INTERVAL).await;
+    assert_eq!(start.elapsed(), INTERVAL);
+    assert!(alarm.is_raised());
+    alarm.clear();
+    alarm.raise();
+    alarm.wait(INTERVAL).await;
+    assert!(alarm.is_raised());
 }
--- a/crates/front/tests/search.rs
+++ b/crates/front/tests/search.rs
@@ -1,9 +1,9 @@
-//! The search for a job among shards: what may be said when none has answered.
+//! Combined result of a job search and the cache of job locations.
 
-use front::{JobPlaces, JobSearch, ShardFault};
+use front::{JobLocations, JobSearch, ShardFault};
 use ids::ShardIndex;
 
-fn end(faults: &[ShardFault]) -> ShardFault {
+fn combine(faults: &[ShardFault]) -> ShardFault {
     let mut search = JobSearch::default();
     for fault in faults {
         search.failed(*fault);
@@ -12,27 +12,27 @@
 }
 
 #[test]
-fn a_job_is_unknown_only_when_all_shards_say_so() {
+fn job_is_unknown_only_when_all_shards_say_so() {
     let no_job = ShardFault::NoJob;
-    assert_eq!(end(&[no_job; 5]), no_job);
-    // A shard without a server may hold it, wherever it stands in the order of answers.
-    for at in 0..5 {
+    assert_eq!(combine(&[no_job; 5]), no_job);
+    // A shard without a server may hold the job, whatever the order of the responses.
+    for position in 0..5 {
         let mut faults = [no_job; 5];
-        faults[at] = ShardFault::NotServed;
-        assert_eq!(end(&faults), ShardFault::NotServed);
-        faults[at] = ShardFault::Unknown;
-        assert_eq!(end(&faults), ShardFault::Unknown);
+        faults[position] = ShardFault::NotServed;
+        assert_eq!(combine(&faults), ShardFault::NotServed);
+        faults[position] = ShardFault::Unknown;
+        assert_eq!(combine(&faults), ShardFault::Unknown);
     }
 }
 
 #[test]
-fn what_may_have_been_done_is_not_called_not_done() {
+fn unknown_outcome_overrides_not_served() {
     let faults = [ShardFault::NotServed, ShardFault::Unknown, ShardFault::NotServed];
-    assert_eq!(end(&faults), ShardFault::Unknown);
+    assert_eq!(combine(&faults), ShardFault::Unknown);
 }
 
 #[test]
-fn the_shard_that_holds_the_job_ends_the_search() {
+fn missing_item_stops_the_search() {
     let mut search = JobSearch::default();
     assert!(!search.failed(ShardFault::Unknown));
     assert!(search.failed(ShardFault::NoItem), "no other shard can hold the item");
@@ -40,20 +40,20 @@
 }
 
 #[test]
-fn without_shards_nothing_is_served() {
-    assert_eq!(end(&[]), ShardFault::NotServed);
+fn search_without_shards_reports_not_served() {
+    assert_eq!(combine(&[]), ShardFault::NotServed);
 }
 
 #[test]
-fn places_are_remembered_in_bounded_number() {
-    let mut places = JobPlaces::default();
+fn location_cache_is_bounded() {
+    let mut locations = JobLocations::default();
     for number in 0..2_000_u32 {
-        places.put(&format!("job-{number}"), ShardIndex::new(number % 5));
+        locations.put(&format!("job-{number}"), ShardIndex::new(number % 5));
     }
-    assert_eq!(places.shard("job-1999"), Some(ShardIndex::new(4)));
-    assert_eq!(places.shard("job-0"), None);
-    places.forget("job-1999");
-    assert_eq!(places.shard("job-1999"), None);
-    let held = (0..2_000).filter(|number| places.shard(&format!("job-{number}")).is_some());
-    assert_eq!(held.count(), 511);
+    assert_eq!(locations.shard("job-1999"), Some(ShardIndex::new(4)));
+    assert_eq!(locations.shard("job-0"), None);
+    locations.forget("job-1999");
+    assert_eq!(locations.shard("job-1999"), None);
+    let cached = (0..2_000).filter(|number| locations.shard(&format!("job-{number}")).is_some());
+    assert_eq!(cached.count(), 511);
 }
--- a/crates/gannetctl/src/step_account.rs
+++ b/crates/gannetctl/src/step_account.rs
@@ -167,7 +167,7 @@
                 let oldest = line.number("min_version").map_or(0, whole);
                 self.steps.extend(StepTimings::read(line).map(|step| (step, oldest)));
             }
-            "job handed in" if line.text("outcome") == Some("accepted") => {
+            "job submitted" if line.text("outcome") == Some("accepted") => {
                 let Some(job) = line.text("job") else { return };
                 let first = self.asked.entry(job.to_owned()).or_insert(time_s);
                 *first = first.min(time_s);
--- a/crates/gannetctl/tests/explain.rs
+++ b/crates/gannetctl/tests/explain.rs
@@ -16,7 +16,7 @@
 {"box":"keep-1","event":"not serving","epoch":"0.a.keep-1","part":"shard","shard":0,"t":50,"level":"info","why":"asked"}
 "#;
 
-const ENTRY: &str = r#"{"box":"entry-1","event":"job handed in","items":2,"job":"j1","outcome":"accepted","part":"entry","shard":0,"t":100.6,"level":"info"}
+const ENTRY: &str = r#"{"box":"entry-1","event":"job submitted","items":2,"job":"j1","outcome":"accepted","part":"entry","shard":0,"t":100.6,"level":"info"}
 {"box":"entry-1","event":"try ended","left_ms":900,"outcome":"silent","part":"targets","request":"r1","t":101,"level":"info","target":"d1","took_ms":450}
 {"box":"entry-1","event":"request ended","config":3,"outcome":"not run","part":"entry","request":"r1","route":"plain","t":101.25,"level":"info","took_ms":700}
 "#;
@@ -45,7 +45,7 @@
     let events: Vec<&str> = told.lines().skip(1).take(4).collect();
     assert_eq!(events.len(), 4, "{told}");
     assert!(events[0].contains("keep-1   job taken"), "{told}");
-    assert!(events[1].contains("entry-1  job handed in"), "{told}");
+    assert!(events[1].contains("entry-1  job submitted"), "{told}");
     assert!(events[2].contains("outcome=slow engine"), "{told}");
     assert!(events[3].contains("why=copy lost"), "{told}");
     assert!(!told.contains("i2") && !told.contains("shard=7") && !told.contains("0.a.keep-1"));
--- a/crates/gannetctl/tests/steps.rs
+++ b/crates/gannetctl/tests/steps.rs
@@ -14,8 +14,8 @@
 {"box":"keep-1","event":"step told","part":"jobs","t":120.0,"level":"info","job":"j2","shard":0,"model":"m1","step":1,"min_version":2,"wanted":2,"carried":0,"first_run_ms":4000,"wanted_ms":-1,"read_ms":-1,"ended_ms":12000,"item":"","target":"","runs":0,"waited_ms":0,"ran_ms":0,"scored_ms":0,"old_ms":9000,"loading_ms":100,"resting_ms":0,"full_ms":0,"no_route_ms":0}
 "#;
 
-const ENTRY: &str = r#"{"box":"entry-1","event":"job handed in","items":2,"job":"j1","outcome":"not served","part":"entry","shard":0,"t":99.9,"level":"info"}
-{"box":"entry-1","event":"job handed in","items":2,"job":"j1","outcome":"accepted","part":"entry","shard":0,"t":100.1,"level":"info"}
+const ENTRY: &str = r#"{"box":"entry-1","event":"job submitted","items":2,"job":"j1","outcome":"not served","part":"entry","shard":0,"t":99.9,"level":"info"}
+{"box":"entry-1","event":"job submitted","items":2,"job":"j1","outcome":"accepted","part":"entry","shard":0,"t":100.1,"level":"info"}
 "#;
 
 fn steps(name: &str, more: &[&str]) -> Output {
--- a/crates/xtask/src/ablate.rs
+++ b/crates/xtask/src/ablate.rs
@@ -192,8 +192,8 @@
         without: "a box that is cut off stays ready",
         edit: SourceEdit {
             file: "crates/front/src/isolation.rs",
-            from: "view.set_isolated(view.is_configured() && heard_at",
-            to: "view.set_isolated(false && heard_at",
+            from: "view.set_isolated(view.is_configured() && last_contact",
+            to: "view.set_isolated(false && last_contact",
         },
     },
     Ablation {
@@ -201,7 +201,7 @@
         without: "a failed call raises no doubt of being cut off",
         edit: SourceEdit {
             file: "crates/front/src/jobs_api.rs",
-            from: "            self.doubt.raise();",
+            from: "            self.alarm.raise();",
             to: "",
         },
     },
--- a/crates/xtask/src/mutate.rs
+++ b/crates/xtask/src/mutate.rs
@@ -196,8 +196,8 @@
     Mutation {
         name: "platform: an entry box hears of the store from itself alone",
         file: "crates/front/src/role.rs",
-        from: "tokio::spawn(follow_feed(v(), links.clone(), fed, end.clone()));",
-        to: "drop((fed, links.clone(), follow_feed));",
+        from: "tokio::spawn(follow_feed(shared_view(), links.clone(), feeds, shutdown.clone()));",
+        to: "drop((feeds, links.clone(), follow_feed));",
         package: "platform-standin",
         test: "an_entry_box_without_the_store",
     },
@@ -244,8 +244,8 @@
     Mutation {
         name: "customers: a box whose settings may be old calls keys unknown",
         file: "crates/front/src/admission.rs",
-        from: "    let sure = view.has_fresh_config();",
-        to: "    let sure = view.is_configured();",
+        from: "    let is_current = view.has_fresh_config();",
+        to: "    let is_current = view.is_configured();",
         package: "platform-standin",
         test: "a_box_that_cannot_be_sure",
     },
@@ -372,8 +372,8 @@
     Mutation {
         name: "platform: a box that is cut off stays ready",
         file: "crates/front/src/server.rs",
-        from: "let able = self.view.is_configured() && !self.view.is_isolated();",
-        to: "let able = self.view.is_configured();",
+        from: "let is_operational = self.view.is_configured() && !self.view.is_isolated();",
+        to: "let is_operational = self.view.is_configured();",
         package: "platform-standin",
         test: "a_box_that_is_cut_off",
     },
