--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -247,7 +247,7 @@
     loop {
         time::sleep(TELL_EVERY).await;
         let limit = view.pool.limit();
-        let (open, most) = (limit.open(), limit.most());
+        let (open, most) = (limit.open(), limit.max_open());
         if open >= most / TELL_CONNECTIONS_PARTS {
             log::warn!(target: "targets", open = open, most = most; "many connections");
         }
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -1,14 +1,14 @@
-//! Connections to targets: one request at a time on each, none reused after a surprise.
+//! HTTP connections to targets, with one request at a time on each.
 //!
-//! A connection goes back to the pool only when its answer came whole, belonged to the request,
-//! was a success, and neither side wants to close. Anything else (an answer to another request,
-//! bytes that nobody asked for, an error, a break) closes it, so that late bytes of one request
-//! can never be taken for the answer to another.
+//! A connection returns to the pool only if its response was complete, belonged to the request and
+//! was a success, and neither side wants to close the connection. In all other cases (a response to
+//! another request, unexpected bytes, an error, a disconnect) the connection is closed. Late bytes
+//! of one request are thus never mistaken for the response to another.
 
-mod answer;
 mod limit;
 mod pool;
+mod response;
 
-pub use answer::{FullResponse, TargetResponse, keep_time};
-pub use limit::{ConnectionLimit, ConnectionPlace};
+pub use limit::{ConnectionLimit, ConnectionPermit};
 pub use pool::{PortState, SendError, TargetPool};
+pub use response::{FullResponse, TargetResponse, keep_alive_time};
--- a/crates/upstream/src/limit.rs
+++ b/crates/upstream/src/limit.rs
@@ -1,68 +1,68 @@
-//! How many connections to targets a box may hold.
+//! Limit on the number of open connections to targets.
 //!
-//! A server of jobs holds a connection for each item that runs, thousands at three hundred boxes. A process
-//! that runs out of descriptors can neither answer other boxes nor write its log, and gives up
-//! everything at once; so it starts no more items a step ahead of that, and keeps the last places for what
-//! lets go of work: reward calls, orders and plain requests.
+//! A shard server holds one connection per running item, which can be thousands. A process without
+//! free file descriptors can neither respond to other boxes nor write its log. The server therefore
+//! stops starting items before the limit and reserves the last connections for work that completes
+//! items: reward calls, orders and plain requests.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Descriptors that are not for targets: files of the logs and the process's own, and a connection in each
-/// direction to the boxes of the largest deployment that is planned for, 410. At most half of all: a box with
-/// few descriptors stands among few boxes.
+/// File descriptors reserved for other uses: log files, the process itself, and a connection in
+/// each direction to up to 410 other boxes. Boxes with few descriptors reserve at most half of
+/// them.
 const OTHER_DESCRIPTORS: usize = 1_100;
-/// One place in this many is not for items.
-const SPARE_PARTS: usize = 10;
+/// One in this many connections is not available for items.
+const RESERVE_DIVISOR: usize = 10;
 
-/// How many connections to targets are open, and how many may be.
+/// Counts the open connections to targets and limits their number.
 #[derive(Debug)]
 pub struct ConnectionLimit {
-    most: usize,
+    max_open: usize,
     open: Arc<AtomicUsize>,
 }
 
 impl Default for ConnectionLimit {
     fn default() -> Self {
-        Self { most: usize::MAX, open: Arc::default() }
+        Self { max_open: usize::MAX, open: Arc::default() }
     }
 }
 
 impl ConnectionLimit {
-    /// The limit of a process that may open so many descriptors.
+    /// Computes the limit for a process that may open `descriptors` file descriptors.
     pub fn for_descriptors(descriptors: usize) -> Self {
-        let most = descriptors - OTHER_DESCRIPTORS.min(descriptors / 2);
-        Self { most, open: Arc::default() }
+        let max_open = descriptors - OTHER_DESCRIPTORS.min(descriptors / 2);
+        Self { max_open, open: Arc::default() }
     }
 
-    /// Connections that are open, resting ones included.
+    /// Number of open connections, including idle ones.
     pub fn open(&self) -> usize {
         self.open.load(Ordering::Relaxed)
     }
 
-    /// Connections that may be open.
-    pub const fn most(&self) -> usize {
-        self.most
+    /// Maximum number of open connections.
+    pub const fn max_open(&self) -> usize {
+        self.max_open
     }
 
-    /// Whether another item may be started, with as many connections open as there are.
+    /// Whether another item may be started at the current number of connections.
     pub fn has_capacity(&self) -> bool {
-        self.open() < self.most - self.most / SPARE_PARTS
+        self.open() < self.max_open - self.max_open / RESERVE_DIVISOR
     }
 
-    /// Takes a place, if there is one.
-    pub fn take(&self) -> Option<ConnectionPlace> {
-        let more = |open| (open < self.most).then_some(open + 1);
-        self.open.fetch_update(Ordering::Relaxed, Ordering::Relaxed, more).ok()?;
-        Some(ConnectionPlace(Arc::clone(&self.open)))
+    /// Acquires a permit for one connection; returns `None` at the limit.
+    pub fn try_acquire(&self) -> Option<ConnectionPermit> {
+        let increment = |open| (open < self.max_open).then_some(open + 1);
+        self.open.fetch_update(Ordering::Relaxed, Ordering::Relaxed, increment).ok()?;
+        Some(ConnectionPermit(Arc::clone(&self.open)))
     }
 }
 
-/// The place of one connection, free again once it is dropped.
+/// Permit for one connection; released when it is dropped.
 #[derive(Debug)]
-pub struct ConnectionPlace(Arc<AtomicUsize>);
+pub struct ConnectionPermit(Arc<AtomicUsize>);
 
-impl Drop for ConnectionPlace {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections kept for reuse, by address.
+//! Pool of idle connections, by target address.
 
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -16,59 +16,56 @@
 use tokio::time::{self, Instant};
 use tokio_util::sync::{CancellationToken, DropGuard};
 
-use crate::{ConnectionLimit, ConnectionPlace, TargetResponse};
+use crate::{ConnectionLimit, ConnectionPermit, TargetResponse};
 
-/// Longest wait for a connection; targets answer in about a millisecond, and a lost opening
-/// packet is repeated only after a second.
+/// Timeout for opening a connection; shorter than the retransmission delay of a lost SYN packet.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
-/// How long a connection may rest where the target does not say.
-const IDLE_TIME: Duration = Duration::from_secs(8);
-/// Connections kept for one target; more are closed after use.
-const MOST_IDLE: usize = 16;
+/// How long a connection may stay idle if the target states no time.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(8);
+/// Maximum number of idle connections per target; further ones are closed after use.
+const MAX_IDLE_PER_TARGET: usize = 16;
 
-/// Why a request got no answer.
+/// Why a request got no response.
 #[derive(Debug, thiserror::Error)]
 pub enum SendError {
-    /// Nothing was sent.
+    /// The target is unreachable; nothing was sent.
     #[error("the target at {0} cannot be reached, nothing was sent: choose another")]
     NotSent(SocketAddr),
-    /// This box holds as many connections as it may; nothing was sent.
-    #[error(
-        "no connection may be opened, nothing was sent: wait until others have ended, or raise `--max-fds`"
-    )]
+    /// This box has reached its connection limit; nothing was sent.
+    #[error("the connection limit is reached, nothing was sent: retry later, or raise `--max-fds`")]
     LimitReached,
-    /// It was sent, and may have run.
-    #[error("the target broke off ({0}): the request may have run")]
+    /// The request was sent and may have run.
+    #[error("the connection to the target broke ({0}): the request may have run")]
     Broken(String),
 }
 
-/// What an address does with a connection.
+/// How an address reacts to a connection attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PortState {
-    /// Something takes connections there.
+    /// Connections are accepted.
     Listens,
-    /// Nothing does: connections are refused.
+    /// Connections are refused: nothing listens on the port.
     Refuses,
-    /// No answer: the way may be cut, or its queue be full.
+    /// No reaction: the network path may be down, or the accept queue full.
     Unresponsive,
 }
 
 pub(crate) struct Connection {
     pub sender: SendRequest<Full<Bytes>>,
-    #[expect(dead_code, reason = "held for its drop, which frees the place")]
-    pub place: ConnectionPlace,
+    #[expect(dead_code, reason = "held for its drop, which releases the permit")]
+    pub permit: ConnectionPermit,
     /// Closes the connection when it is dropped.
     #[expect(dead_code, reason = "held for its drop, which closes the connection")]
-    pub open: DropGuard,
+    pub close_guard: DropGuard,
     idle_until: Instant,
 }
 
-type Idle = Arc<Mutex<HashMap<SocketAddr, Vec<Connection>>>>;
+type IdleConnections = Arc<Mutex<HashMap<SocketAddr, Vec<Connection>>>>;
 
-/// Connections to targets.
+/// Pool of connections to targets; clones share it.
 #[derive(Clone, Default)]
 pub struct TargetPool {
-    idle: Idle,
+    idle: IdleConnections,
     limit: Arc<ConnectionLimit>,
 }
 
@@ -79,17 +76,17 @@
 }
 
 impl TargetPool {
-    /// A pool that keeps to a limit.
+    /// Creates a pool with a limit on open connections.
     pub fn new(limit: ConnectionLimit) -> Self {
-        Self { idle: Idle::default(), limit: Arc::new(limit) }
+        Self { idle: IdleConnections::default(), limit: Arc::new(limit) }
     }
 
-    /// How many connections are open, and how many may be.
+    /// The limit and the number of open connections.
     pub fn limit(&self) -> &ConnectionLimit {
         &self.limit
     }
 
-    /// Whether another item may be started; resting connections give way where there is no room beside them.
+    /// Whether another item may be started. Closes the idle connections if they use up the limit.
     pub fn has_capacity(&self) -> bool {
         if !self.limit.has_capacity() {
             self.close_idle();
@@ -97,11 +94,11 @@
         self.limit.has_capacity()
     }
 
-    /// A place for a connection; resting ones give theirs up where there is none.
-    fn place(&self) -> Option<ConnectionPlace> {
-        self.limit.take().or_else(|| {
+    /// Acquires a permit for a connection. Closes the idle connections if there is none left.
+    fn acquire_permit(&self) -> Option<ConnectionPermit> {
+        self.limit.try_acquire().or_else(|| {
             self.close_idle();
-            self.limit.take()
+            self.limit.try_acquire()
         })
     }
 
@@ -109,17 +106,17 @@
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sends a request and waits for the head of its answer. Nothing is repeated here, except
-    /// on a connection that was closed before it took the request.
+    /// Sends a request and waits for the response head. Retries only if a connection was closed
+    /// before the request was sent.
     pub async fn send(
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
     ) -> Result<TargetResponse, SendError> {
         let mut request = request;
-        while let Some(mut connection) = self.take(address) {
+        while let Some(mut connection) = self.take_idle(address) {
             match connection.sender.try_send_request(request).await {
-                Ok(response) => return Ok(self.answer(address, connection, response)),
+                Ok(response) => return Ok(self.target_response(address, connection, response)),
                 Err(mut error) => match error.take_message() {
                     Some(unsent) => request = unsent,
                     None => return Err(SendError::Broken(error.into_error().to_string())),
@@ -129,19 +126,19 @@
         self.send_on_new_connection(address, request).await
     }
 
-    /// Sends a request on a connection of its own.
+    /// Sends a request on a new connection.
     pub async fn send_on_new_connection(
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
     ) -> Result<TargetResponse, SendError> {
-        let Some(place) = self.place() else { return Err(SendError::LimitReached) };
-        let connected = time::timeout(CONNECT_TIMEOUT, connect(address, place)).await;
+        let Some(permit) = self.acquire_permit() else { return Err(SendError::LimitReached) };
+        let connected = time::timeout(CONNECT_TIMEOUT, connect(address, permit)).await;
         let Ok(Some(mut connection)) = connected else {
             return Err(SendError::NotSent(address));
         };
         match connection.sender.try_send_request(request).await {
-            Ok(response) => Ok(self.answer(address, connection, response)),
+            Ok(response) => Ok(self.target_response(address, connection, response)),
             Err(mut error) => match error.take_message() {
                 Some(_unsent) => Err(SendError::NotSent(address)),
                 None => Err(SendError::Broken(error.into_error().to_string())),
@@ -149,7 +146,7 @@
         }
     }
 
-    /// Opens a connection for a moment, to see whether anything listens.
+    /// Checks whether anything listens at an address, by opening a connection and closing it again.
     pub async fn probe(&self, address: SocketAddr) -> PortState {
         match time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
             Ok(Ok(_stream)) => PortState::Listens,
@@ -158,7 +155,7 @@
         }
     }
 
-    fn answer(
+    fn target_response(
         &self,
         address: SocketAddr,
         connection: Connection,
@@ -167,7 +164,7 @@
         TargetResponse::new(self.clone(), address, connection, response)
     }
 
-    fn take(&self, address: SocketAddr) -> Option<Connection> {
+    fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         let mut idle = self.lock();
         let connections = idle.get_mut(&address)?;
         let now = Instant::now();
@@ -179,30 +176,30 @@
         None
     }
 
-    /// Keeps a connection whose answer came whole; `keep` is what the target allows.
+    /// Stores a connection as idle for `keep_alive`, or for the default time.
     pub(crate) fn put_back(
         &self,
         address: SocketAddr,
         mut connection: Connection,
-        keep: Option<Duration>,
+        keep_alive: Option<Duration>,
     ) {
         let now = Instant::now();
-        connection.idle_until = now + keep.unwrap_or(IDLE_TIME);
+        connection.idle_until = now + keep_alive.unwrap_or(DEFAULT_IDLE_TIMEOUT);
         let mut idle = self.lock();
         let connections = idle.entry(address).or_default();
         connections.retain(|other| now < other.idle_until && !other.sender.is_closed());
-        if connections.len() < MOST_IDLE {
+        if connections.len() < MAX_IDLE_PER_TARGET {
             connections.push(connection);
         }
     }
 
-    /// Closes all resting connections: what made one of them fall silent may have met others, and each
-    /// would cost its request the time until that shows. New ones cost a millisecond each.
+    /// Closes all idle connections. If one connection became unresponsive, others may have failed
+    /// for the same reason, and each would delay a request until its timeout.
     pub fn close_idle(&self) {
         self.lock().clear();
     }
 
-    /// Closes connections that have rested too long.
+    /// Closes connections that have been idle for too long.
     pub fn sweep(&self) {
         let now = Instant::now();
         self.lock().retain(|_, connections| {
@@ -212,18 +209,18 @@
     }
 }
 
-async fn connect(address: SocketAddr, place: ConnectionPlace) -> Option<Connection> {
+async fn connect(address: SocketAddr, permit: ConnectionPermit) -> Option<Connection> {
     let stream = TcpStream::connect(address).await.ok()?;
     stream.set_nodelay(true).ok()?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     let closed = CancellationToken::new();
-    let open = closed.clone().drop_guard();
+    let close_guard = closed.clone().drop_guard();
     tokio::spawn(async move {
         tokio::select! {
-            // An error here shows to whoever waits for the answer; an idle one only ends.
+            // The caller that waits for the response sees an error; an idle connection just ends.
             _ended = connection => {}
             () = closed.cancelled() => {}
         }
     });
-    Some(Connection { sender, place, open, idle_until: Instant::now() })
+    Some(Connection { sender, permit, close_guard, idle_until: Instant::now() })
 }
--- a/crates/upstream/src/answer.rs
+++ b/crates/upstream/src/response.rs
@@ -1,4 +1,4 @@
-//! The answer of a target.
+//! Responses of targets.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,12 +11,12 @@
 use crate::pool::Connection;
 use crate::{SendError, TargetPool};
 
-/// Taken off the time for which a target keeps a resting connection: for the ways there and back, some
-/// milliseconds, and for a box whose share of a core is used up, which stands still for up to 100 ms. Targets
-/// tell whole seconds, often a single one, so a margin of a second would let no connection be used again.
-const KEEP_MARGIN: Duration = Duration::from_millis(300);
+/// Margin subtracted from the time for which a target keeps an idle connection. It covers the round
+/// trip and a pause of up to 100 ms when the box has used up its CPU quota. Targets state whole
+/// seconds, often a single one, so the margin must be less than a second to allow any reuse.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(300);
 
-/// An answer whose body is still on its way. Dropping it closes the connection.
+/// A response whose body is still being received. Dropping it closes the connection.
 pub struct TargetResponse {
     pool: TargetPool,
     address: SocketAddr,
@@ -35,14 +35,14 @@
     }
 }
 
-/// An answer that came whole.
+/// A completely received response.
 #[derive(Debug, Clone)]
 pub struct FullResponse {
-    /// Its status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Its headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Complete body.
     pub body: Bytes,
 }
 
@@ -57,24 +57,24 @@
         Self { pool, address, connection, status: head.status, headers: head.headers, body }
     }
 
-    /// Its status.
+    /// HTTP status.
     pub const fn status(&self) -> StatusCode {
         self.status
     }
 
-    /// Its headers.
+    /// Response headers.
     pub const fn headers(&self) -> &HeaderMap {
         &self.headers
     }
 
-    /// The next bytes of the body; `None` after the last.
+    /// Receives the next bytes of the body; returns `None` at its end.
     pub async fn next(&mut self) -> Result<Option<Bytes>, SendError> {
         loop {
             match self.body.frame().await {
                 None => return Ok(None),
                 Some(Err(error)) => return Err(SendError::Broken(error.to_string())),
                 Some(Ok(frame)) => {
-                    // Trailers carry nothing that is passed on.
+                    // Trailers are not forwarded.
                     if let Ok(data) = frame.into_data() {
                         return Ok(Some(data));
                     }
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Gives the connection back for reuse. Only after the whole body of a success that
-    /// belonged to the request.
+    /// Returns the connection to the pool, unless the status or the headers forbid it. The caller
+    /// must have read the complete body and checked that the response belongs to the request.
     pub fn reuse(self) {
         let text = |name: &str| self.headers.get(name).and_then(|value| value.to_str().ok());
         let closes = text("connection").is_some_and(|value| {
@@ -93,37 +93,38 @@
         if closes || !self.status.is_success() {
             return;
         }
-        let keep = text("keep-alive").and_then(keep_time);
-        if keep.is_some_and(|keep| keep.is_zero()) {
+        let keep_alive = text("keep-alive").and_then(keep_alive_time);
+        if keep_alive.is_some_and(|keep_alive| keep_alive.is_zero()) {
             return;
         }
-        self.pool.put_back(self.address, self.connection, keep);
+        self.pool.put_back(self.address, self.connection, keep_alive);
     }
 
-    /// Reads the whole body, `most` bytes at most, and gives the connection back.
-    pub async fn read_full(mut self, most: usize) -> Result<FullResponse, SendError> {
+    /// Reads a complete body of at most `max_bytes` and returns the connection to the pool.
+    pub async fn read_full(mut self, max_bytes: usize) -> Result<FullResponse, SendError> {
         let mut body = BytesMut::new();
-        while let Some(bytes) = self.next().await? {
-            if body.len() + bytes.len() > most {
-                return Err(SendError::Broken("the answer is too long".to_owned()));
+        while let Some(chunk) = self.next().await? {
+            if body.len() + chunk.len() > max_bytes {
+                return Err(SendError::Broken("the response is too long".to_owned()));
             }
-            body.extend_from_slice(&bytes);
+            body.extend_from_slice(&chunk);
         }
-        let whole = FullResponse {
+        let full_response = FullResponse {
             status: self.status,
             headers: self.headers.clone(),
             body: body.freeze(),
         };
         self.reuse();
-        Ok(whole)
+        Ok(full_response)
     }
 }
 
-/// How long a connection may rest by a `Keep-Alive` header, less a margin; `None` where it tells no time.
-pub fn keep_time(value: &str) -> Option<Duration> {
+/// Returns how long a connection may stay idle according to a `Keep-Alive` header, minus a margin;
+/// `None` if the header states no timeout.
+pub fn keep_alive_time(value: &str) -> Option<Duration> {
     let timeout = value.split(',').find_map(|part| {
         let (name, seconds) = part.split_once('=')?;
         name.trim().eq_ignore_ascii_case("timeout").then(|| seconds.trim().parse::<u64>().ok())?
     })?;
-    Some(Duration::from_secs(timeout).saturating_sub(KEEP_MARGIN))
+    Some(Duration::from_secs(timeout).saturating_sub(KEEP_ALIVE_MARGIN))
 }
--- a/crates/upstream/tests/limit.rs
+++ b/crates/upstream/tests/limit.rs
@@ -1,8 +1,7 @@
-//! A box that holds as many connections as it may.
+//! The limit on open connections.
 //!
-//! The pattern: a server of three trainers before 3,000 targets runs some 7,000 items at a time, each on a
-//! connection of its own, and has 8,200 descriptors; of these it needs files, the connections of 300 boxes
-//! and room for reward calls, which end items.
+//! Guards against a server that uses all its file descriptors for items. It needs some for files,
+//! connections to other boxes, and the reward calls that complete items.
 
 use std::net::SocketAddr;
 
@@ -14,38 +13,42 @@
 use upstream::{ConnectionLimit, SendError, TargetPool};
 
 #[test]
-fn descriptors_are_left_for_everything_else() {
+fn descriptors_are_reserved_for_other_uses() {
     let limit = ConnectionLimit::for_descriptors(8_200);
-    assert!(limit.most() >= 7_000 && limit.most() + 200 + 2 * 410 <= 8_200, "{}", limit.most());
+    assert!(
+        limit.max_open() >= 7_000 && limit.max_open() + 200 + 2 * 410 <= 8_200,
+        "{}",
+        limit.max_open()
+    );
 }
 
-/// A small deployment's boxes may have few descriptors; most of them are for targets all the same.
+/// Boxes of small deployments may have few descriptors and must still be able to reach targets.
 #[test]
-fn a_box_with_few_descriptors_keeps_half_of_them_for_targets() {
+fn half_of_few_descriptors_are_for_targets() {
     for descriptors in [64, 256, 1_024, 2_000] {
-        assert_eq!(ConnectionLimit::for_descriptors(descriptors).most(), descriptors / 2);
+        assert_eq!(ConnectionLimit::for_descriptors(descriptors).max_open(), descriptors / 2);
     }
 }
 
 #[test]
-fn items_stop_before_the_last_places_are_taken() {
+fn items_stop_before_the_reserved_connections() {
     let limit = ConnectionLimit::for_descriptors(8_200);
     let mut items = Vec::new();
     while limit.has_capacity() {
-        items.push(limit.take().expect("there is room"));
+        items.push(limit.try_acquire().expect("a free permit"));
     }
     let mut rewards = Vec::new();
-    while let Some(place) = limit.take() {
-        rewards.push(place);
+    while let Some(permit) = limit.try_acquire() {
+        rewards.push(permit);
     }
-    assert!(rewards.len() >= 500, "{} places for reward calls", rewards.len());
-    assert_eq!(limit.open(), limit.most());
+    assert!(rewards.len() >= 500, "{} connections for reward calls", rewards.len());
+    assert_eq!(limit.open(), limit.max_open());
     drop(items);
-    assert!(limit.has_capacity(), "ended items give their places back");
+    assert!(limit.has_capacity(), "completed items release their permits");
 }
 
-/// A target that answers each request on a connection of its own, and keeps all of them.
-async fn patient_target() -> SocketAddr {
+/// Starts a target that responds to every request and keeps all connections open.
+async fn keep_alive_target() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound");
     tokio::spawn(async move {
@@ -53,8 +56,8 @@
             tokio::spawn(async move {
                 let mut buffer = vec![0; 4_096];
                 while stream.read(&mut buffer).await.is_ok_and(|len| len > 0) {
-                    let good = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
-                    if stream.write_all(good).await.is_err() {
+                    let ok_response = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
+                    if stream.write_all(ok_response).await.is_err() {
                         return;
                     }
                 }
@@ -68,37 +71,37 @@
     Request::get("/").body(Full::new(Bytes::new())).expect("a request")
 }
 
-/// Items wait while there is no room; were resting connections to hold it, nothing would ever end them.
+/// Guards against a deadlock: items wait for capacity that idle connections hold forever.
 #[tokio::test]
-async fn resting_connections_hold_up_no_item() {
+async fn idle_connections_do_not_block_items() {
     let pool = TargetPool::new(ConnectionLimit::for_descriptors(20));
-    let mut answers = Vec::new();
-    for _ in 0..pool.limit().most() {
-        let address = patient_target().await;
-        answers.push(pool.send(address, request()).await.expect("an answer"));
+    let mut responses = Vec::new();
+    for _ in 0..pool.limit().max_open() {
+        let address = keep_alive_target().await;
+        responses.push(pool.send(address, request()).await.expect("a response"));
     }
-    assert!(!pool.has_capacity(), "they run");
-    for answer in answers {
-        answer.read_full(16).await.expect("whole");
+    assert!(!pool.has_capacity(), "all connections are in use");
+    for response in responses {
+        response.read_full(16).await.expect("a complete response");
     }
-    assert_eq!(pool.limit().open(), pool.limit().most(), "they rest");
+    assert_eq!(pool.limit().open(), pool.limit().max_open(), "all connections are idle");
     assert!(pool.has_capacity());
 }
 
 #[tokio::test]
-async fn resting_connections_give_way_and_then_nothing_is_sent() {
-    let address = patient_target().await;
+async fn idle_connections_are_closed_before_the_limit_is_reported() {
+    let address = keep_alive_target().await;
     let pool = TargetPool::new(ConnectionLimit::for_descriptors(128));
-    let most = pool.limit().most();
-    let answer = pool.send(address, request()).await.expect("an answer");
-    answer.read_full(16).await.expect("whole");
-    assert_eq!(pool.limit().open(), 1, "it rests");
-    let mut running = Vec::new();
-    for _ in 0..most {
-        running.push(pool.send_on_new_connection(address, request()).await.expect("an answer"));
+    let max_open = pool.limit().max_open();
+    let response = pool.send(address, request()).await.expect("a response");
+    response.read_full(16).await.expect("a complete response");
+    assert_eq!(pool.limit().open(), 1, "the connection is idle");
+    let mut in_flight = Vec::new();
+    for _ in 0..max_open {
+        in_flight.push(pool.send_on_new_connection(address, request()).await.expect("a response"));
     }
     let refused = pool.send_on_new_connection(address, request()).await;
     assert!(matches!(refused, Err(SendError::LimitReached)), "{refused:?}");
-    running.pop();
-    pool.send_on_new_connection(address, request()).await.expect("an answer");
+    in_flight.pop();
+    pool.send_on_new_connection(address, request()).await.expect("a response");
 }
--- a/crates/upstream/tests/look.rs
+++ b/crates/upstream/tests/probe.rs
@@ -1,4 +1,4 @@
-//! What is told of an address from outside.
+//! Probing of an address for a listening process.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 use upstream::{PortState, TargetPool};
 
 #[tokio::test]
-async fn an_address_where_nothing_listens_refuses() {
+async fn probe_reports_whether_the_port_listens() {
     let pool = TargetPool::default();
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address: SocketAddr = listener.local_addr().expect("bound");
--- a/crates/upstream/tests/silent.rs
+++ b/crates/upstream/tests/unresponsive_connections.rs
@@ -1,4 +1,4 @@
-//! Kept connections that fall silent without a reset, while new ones work.
+//! Idle connections that become unresponsive without a reset, while new connections work.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,16 +12,16 @@
 use tokio::time;
 use upstream::{FullResponse, SendError, TargetPool};
 
-/// Longer than any answer takes; a test that reaches it has failed.
-const LONG: Duration = Duration::from_secs(20);
-/// How long the caller of a silent connection waits.
-const PATIENCE: Duration = Duration::from_millis(300);
-const GOOD: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
+/// Timeout of the test; longer than any response takes.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+/// Timeout of the request on an unresponsive connection.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
+const OK_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 
 async fn serve(mut stream: TcpStream) {
     let mut buffer = vec![0; 4_096];
     while stream.read(&mut buffer).await.is_ok_and(|len| len > 0) {
-        if stream.write_all(GOOD).await.is_err() {
+        if stream.write_all(OK_RESPONSE).await.is_err() {
             return;
         }
     }
@@ -46,15 +46,18 @@
 }
 
 #[tokio::test]
-async fn after_a_silence_no_kept_connection_is_used_again() {
+async fn close_idle_prevents_reuse_of_unresponsive_connections() {
     let (pool, proxy) = (TargetPool::default(), proxied_target().await);
-    // Two at a time leave two kept connections.
+    // Two concurrent requests leave two idle connections.
     let (first, second) = tokio::join!(send(&pool, proxy.address), send(&pool, proxy.address));
     assert!(first.is_ok() && second.is_ok());
     proxy.silence();
-    let silent = time::timeout(PATIENCE, send(&pool, proxy.address)).await;
-    assert!(silent.is_err(), "a kept connection was used, and is silent");
+    let unresponsive = time::timeout(REQUEST_TIMEOUT, send(&pool, proxy.address)).await;
+    assert!(
+        unresponsive.is_err(),
+        "the request should use an idle connection, which is unresponsive"
+    );
     pool.close_idle();
-    let answer = time::timeout(LONG, send(&pool, proxy.address)).await.expect("in time");
-    assert_eq!(answer.expect("on a new connection").body.as_ref(), b"ok");
+    let response = time::timeout(TEST_TIMEOUT, send(&pool, proxy.address)).await.expect("in time");
+    assert_eq!(response.expect("on a new connection").body.as_ref(), b"ok");
 }
--- a/crates/xtask/src/ablate.rs
+++ b/crates/xtask/src/ablate.rs
@@ -38,9 +38,9 @@
         name: "brief-rest",
         without: "connections are not used again where a target tells one second",
         edit: SourceEdit {
-            file: "crates/upstream/src/answer.rs",
-            from: "const KEEP_MARGIN: Duration = Duration::from_millis(300);",
-            to: "const KEEP_MARGIN: Duration = Duration::from_secs(1);",
+            file: "crates/upstream/src/response.rs",
+            from: "const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(300);",
+            to: "const KEEP_ALIVE_MARGIN: Duration = Duration::from_secs(1);",
         },
     },
     Ablation {
@@ -246,8 +246,8 @@
         without: "connections to targets are not used again",
         edit: SourceEdit {
             file: "crates/upstream/src/pool.rs",
-            from: "const MOST_IDLE: usize = 16;",
-            to: "const MOST_IDLE: usize = 0;",
+            from: "const MAX_IDLE_PER_TARGET: usize = 16;",
+            to: "const MAX_IDLE_PER_TARGET: usize = 0;",
         },
     },
     Ablation {
--- a/crates/xtask/src/mutate.rs
+++ b/crates/xtask/src/mutate.rs
@@ -391,7 +391,7 @@
         from: "self.lock().clear();",
         to: "let _ = self.lock();",
         package: "upstream",
-        test: "after_a_silence",
+        test: "close_idle_prevents_reuse",
     },
     Mutation {
         name: "platform: long texts of a later job wait for short ones of an earlier job",
@@ -523,11 +523,11 @@
     },
     Mutation {
         name: "platform: no connection is used again where a target tells one second",
-        file: "crates/upstream/src/answer.rs",
-        from: "const KEEP_MARGIN: Duration = Duration::from_millis(300);",
-        to: "const KEEP_MARGIN: Duration = Duration::from_secs(1);",
+        file: "crates/upstream/src/response.rs",
+        from: "const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(300);",
+        to: "const KEEP_ALIVE_MARGIN: Duration = Duration::from_secs(1);",
         package: "upstream",
-        test: "a_single_second_lets_a_connection",
+        test: "timeout_of_one_second",
     },
     Mutation {
         name: "platform: boxes that are told ask a silent store as often as the one that tells",
@@ -543,7 +543,7 @@
         from: "        if !self.limit.has_capacity() {\n            self.close_idle();\n        }\n",
         to: "",
         package: "upstream",
-        test: "resting_connections_hold_up_no_item",
+        test: "idle_connections_do_not_block",
     },
     Mutation {
         name: "platform: a read gets 404 while its job's shard has no server",
