--- a/crates/routing/src/cold.rs
+++ b/crates/routing/src/cold.rs
@@ -13,7 +13,7 @@
 use ids::{InstanceId, Moment, ShardIndex};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Maximum number of boxes that may believe to serve one shard at the same time.
+/// Maximum number of boxes that may act as server of one shard at the same time.
 const MAX_SERVERS_PER_SHARD: u32 = 2;
 /// Window over which requests are counted: the second of the limit, plus the difference in transit
 /// time between two requests to a target.
