--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -247,7 +247,7 @@
     loop {
         time::sleep(LOG_INTERVAL).await;
         let limit = view.pool.limit();
-        let (open, max) = (limit.open(), limit.most());
+        let (open, max) = (limit.open(), limit.max_open());
         if open >= max / CONNECTION_WARNING_DIVISOR {
             log::warn!(target: "targets", open = open, most = max; "many connections");
         }
--- a/crates/shards/src/handler.rs
+++ b/crates/shards/src/handler.rs
@@ -221,7 +221,7 @@
         log::info!(
             target: "jobs", job:% = id, shard = shard, items = items, min_version = min_version,
             outcome = if logged.is_ok() { "accepted" } else { "unknown" };
-            "job submitted"
+            "job recorded"
         );
         logged?;
         submit_response(keeper, &id, &customer, false)
--- a/crates/xtask/src/ablate.rs
+++ b/crates/xtask/src/ablate.rs
@@ -38,9 +38,9 @@
         name: "brief-rest",
         without: "connections are not used again where a target tells one second",
         edit: SourceEdit {
-            file: "crates/upstream/src/answer.rs",
-            from: "const KEEP_MARGIN: Duration = Duration::from_millis(300);",
-            to: "const KEEP_MARGIN: Duration = Duration::from_secs(1);",
+            file: "crates/upstream/src/response.rs",
+            from: "const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(300);",
+            to: "const KEEP_ALIVE_MARGIN: Duration = Duration::from_secs(1);",
         },
     },
     Ablation {
@@ -164,18 +164,18 @@
         name: "rest-failed",
         without: "a target that failed is tried again at once",
         edit: SourceEdit {
-            file: "crates/routing/src/board.rs",
-            from: "const FIRST_REST: Duration = Duration::from_millis(200);",
-            to: "const FIRST_REST: Duration = Duration::ZERO;",
+            file: "crates/routing/src/target_table.rs",
+            from: "const INITIAL_BACKOFF: Duration = Duration::from_millis(200);",
+            to: "const INITIAL_BACKOFF: Duration = Duration::ZERO;",
         },
     },
     Ablation {
         name: "rest-full",
         without: "a target that was full is tried again at once",
         edit: SourceEdit {
-            file: "crates/routing/src/board.rs",
-            from: "const FULL_REST: Duration = Duration::from_millis(60);",
-            to: "const FULL_REST: Duration = Duration::ZERO;",
+            file: "crates/routing/src/target_table.rs",
+            from: "const INITIAL_FULL_BACKOFF: Duration = Duration::from_millis(60);",
+            to: "const INITIAL_FULL_BACKOFF: Duration = Duration::ZERO;",
         },
     },
     Ablation {
@@ -192,8 +192,8 @@
         without: "a box that is cut off stays ready",
         edit: SourceEdit {
             file: "crates/front/src/isolation.rs",
-            from: "view.set_isolated(view.is_configured() && heard_at",
-            to: "view.set_isolated(false && heard_at",
+            from: "view.set_isolated(view.is_configured() && last_contact",
+            to: "view.set_isolated(false && last_contact",
         },
     },
     Ablation {
@@ -201,7 +201,7 @@
         without: "a failed call raises no doubt of being cut off",
         edit: SourceEdit {
             file: "crates/front/src/jobs_api.rs",
-            from: "            self.doubt.raise();",
+            from: "            self.alarm.raise();",
             to: "",
         },
     },
@@ -246,8 +246,8 @@
         without: "connections to targets are not used again",
         edit: SourceEdit {
             file: "crates/upstream/src/pool.rs",
-            from: "const MOST_IDLE: usize = 16;",
-            to: "const MOST_IDLE: usize = 0;",
+            from: "const MAX_IDLE_PER_TARGET: usize = 16;",
+            to: "const MAX_IDLE_PER_TARGET: usize = 0;",
         },
     },
     Ablation {
