--- a/crates/joblog/src/copy.rs
+++ b/crates/joblog/src/copy.rs
@@ -1,6 +1,6 @@
-//! Copies of logs on this box's disk: one file for each shard and epoch.
+//! Copies of logs on this box's disk: one file per shard and epoch.
 //!
-//! All calls wait for the disk; a shell runs them where waiting is allowed.
+//! All calls block on disk I/O; async callers must run them on a blocking thread.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
@@ -11,50 +11,50 @@
 
 use crate::{EpochId, decode_records};
 
-/// Bytes read at a time: a copy may be much larger than what a box can hold twice.
+/// Bytes read at a time, so that a large copy is not buffered in full.
 const READ_BYTES: u64 = 1 << 20;
-/// Ending of a copy's file.
-const ENDING: &str = ".log";
+/// File name extension of a copy.
+const EXTENSION: &str = ".log";
 
-/// Why a copy could not be used.
+/// Error of an operation on a copy.
 #[derive(Debug, thiserror::Error)]
 pub enum CopyError {
-    /// The disk failed.
-    #[error("the data folder failed ({0}): check that it exists, is writable and has room")]
-    Io(#[from] io::Error),
-    /// No whole record lies where one was written.
+    /// A file operation in the data folder failed.
     #[error(
-        "no whole record lies at byte {offset}: the disk has lost it, serve the shard from another copy"
+        "cannot access the data folder ({0}): check that it exists, is writable and has free space"
     )]
+    Io(#[from] io::Error),
+    /// A record is missing or damaged.
+    #[error("no complete record at byte {offset}: the disk has lost it; serve from another copy")]
     NoRecord {
-        /// Where it should lie.
+        /// Expected offset of the record, in bytes.
         offset: u64,
     },
-    /// An append does not follow what is there.
-    #[error("the copy holds {held} bytes and the append begins at {offset}: form a new epoch")]
+    /// An append does not start at the end of the copy.
+    #[error("the copy has {held} bytes but the append starts at {offset}: start a new epoch")]
     Gap {
-        /// Bytes held.
+        /// Length of the copy, in bytes.
         held: u64,
-        /// Where the append begins.
+        /// Offset of the append, in bytes.
         offset: u64,
     },
 }
 
-/// The folder of all copies on this box.
+/// The folder with all copies on this box.
 #[derive(Debug, Clone)]
 pub struct CopyFolder {
     folder: PathBuf,
 }
 
 impl CopyFolder {
-    /// Opens the folder, making it where it is missing.
+    /// Opens the folder, creating it if missing.
     pub fn open(folder: &Path) -> Result<Self, CopyError> {
         fs::create_dir_all(folder)?;
         Ok(Self { folder: folder.to_owned() })
     }
 
     fn path(&self, shard: ShardIndex, epoch: &EpochId) -> PathBuf {
-        self.folder.join(format!("shard-{shard}-{epoch}{ENDING}"))
+        self.folder.join(format!("shard-{shard}-{epoch}{EXTENSION}"))
     }
 
     fn sync_folder(&self) -> Result<(), CopyError> {
@@ -62,12 +62,12 @@
         Ok(())
     }
 
-    /// Whether the copy of an epoch is here.
+    /// Returns whether this box has the copy of an epoch.
     pub fn has(&self, shard: ShardIndex, epoch: &EpochId) -> bool {
         self.path(shard, epoch).exists()
     }
 
-    /// Begins an empty copy; one of the same epoch is replaced.
+    /// Creates an empty copy, replacing any copy of the same epoch.
     pub fn create(&self, shard: ShardIndex, epoch: &EpochId) -> Result<LogCopyFile, CopyError> {
         let path = self.path(shard, epoch);
         let file = OpenOptions::new().write(true).create(true).truncate(true).open(path)?;
@@ -75,13 +75,13 @@
         Ok(LogCopyFile { file, len: 0, last_offset: None })
     }
 
-    /// Gives each record of a copy to `take`, with its place, up to the first that is not whole;
-    /// says how many.
+    /// Calls `visit` with each record of a copy and its location, up to the first incomplete
+    /// record. Returns the number of records.
     pub fn read(
         &self,
         shard: ShardIndex,
         epoch: &EpochId,
-        mut take: impl FnMut(LogRecord, RecordLocation),
+        mut visit: impl FnMut(LogRecord, RecordLocation),
     ) -> Result<usize, CopyError> {
         let mut file = File::open(self.path(shard, epoch))?;
         let mut bytes = Vec::new();
@@ -93,7 +93,7 @@
             bytes.drain(..used);
             count += records.len();
             for (record, len) in records {
-                take(record, RecordLocation { offset, len });
+                visit(record, RecordLocation { offset, len });
                 offset += u64::from(len);
             }
             if more == 0 {
@@ -102,40 +102,40 @@
         }
     }
 
-    /// Reads single records of a copy, in the order of `places`.
+    /// Reads single records of a copy, in the order of `locations`.
     pub fn load(
         &self,
         shard: ShardIndex,
         epoch: &EpochId,
-        places: &[RecordLocation],
+        locations: &[RecordLocation],
     ) -> Result<Vec<LogRecord>, CopyError> {
         let mut file = File::open(self.path(shard, epoch))?;
-        let mut records = Vec::with_capacity(places.len());
-        for place in places {
-            let mut bytes = vec![0; place.len as usize];
-            file.seek(SeekFrom::Start(place.offset))?;
+        let mut records = Vec::with_capacity(locations.len());
+        for location in locations {
+            let mut bytes = vec![0; location.len as usize];
+            file.seek(SeekFrom::Start(location.offset))?;
             file.read_exact(&mut bytes)?;
             let (mut read, _) = decode_records(&bytes);
-            let fault = CopyError::NoRecord { offset: place.offset };
-            records.push(read.pop().map(|(record, _)| record).ok_or(fault)?);
+            let error = CopyError::NoRecord { offset: location.offset };
+            records.push(read.pop().map(|(record, _)| record).ok_or(error)?);
         }
         Ok(records)
     }
 
-    /// The epochs of a shard that lie here.
+    /// Returns the epochs of a shard that have a copy on this box.
     pub fn epochs(&self, shard: ShardIndex) -> Result<Vec<EpochId>, CopyError> {
-        let start = format!("shard-{shard}-");
+        let prefix = format!("shard-{shard}-");
         let mut epochs = Vec::new();
         for entry in fs::read_dir(&self.folder)? {
             let name = entry?.file_name();
             let Some(name) = name.to_str() else { continue };
-            let epoch = name.strip_prefix(&start).and_then(|rest| rest.strip_suffix(ENDING));
+            let epoch = name.strip_prefix(&prefix).and_then(|rest| rest.strip_suffix(EXTENSION));
             epochs.extend(epoch.and_then(|epoch| epoch.parse().ok()));
         }
         Ok(epochs)
     }
 
-    /// Removes the copy of an epoch that no plan names any more.
+    /// Deletes the copy of an epoch that no plan names any longer.
     pub fn remove(&self, shard: ShardIndex, epoch: &EpochId) -> Result<(), CopyError> {
         fs::remove_file(self.path(shard, epoch))?;
         Ok(())
@@ -147,23 +147,24 @@
 pub struct LogCopyFile {
     file: File,
     len: u64,
-    /// Where the last append began.
+    /// Offset of the last append, in bytes.
     last_offset: Option<u64>,
 }
 
 impl LogCopyFile {
-    /// Bytes held.
+    /// Returns the length in bytes.
     pub const fn len(&self) -> u64 {
         self.len
     }
 
-    /// Whether nothing is held.
+    /// Returns whether the copy is empty.
     pub const fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Appends encoded records that begin at `offset`. They last only after [`Self::sync`]. The last
-    /// append may be repeated: an epoch has one writer, so what lies there is the same.
+    /// Appends encoded records at `offset`. They are durable only after [`Self::sync`].
+    ///
+    /// Repeating the last append is a no-op: an epoch has one writer, so the bytes are the same.
     pub fn append(&mut self, offset: u64, records: &[u8]) -> Result<(), CopyError> {
         if self.last_offset == Some(offset) && offset + records.len() as u64 == self.len {
             return Ok(());
@@ -178,7 +179,7 @@
         Ok(())
     }
 
-    /// Returns once all appends are on the disk.
+    /// Flushes all appends to disk.
     pub fn sync(&mut self) -> Result<(), CopyError> {
         self.file.sync_data()?;
         Ok(())
--- /dev/null
+++ b/crates/joblog/src/epoch_takeover.rs
@@ -0,0 +1,263 @@
+//! State machine for taking over a shard, without I/O.
+//!
+//! The caller polls for the next step, performs it, and reports its outcome. The order of the steps
+//! preserves acknowledged records: the local copy is closed before it is read, all new copies are
+//! on disk before the plan is written, and the plan replaces only the one that was read.
+
+use ids::{BoxId, FencingToken};
+
+use crate::{EpochId, ShardPlan, StorageBox};
+
+/// A plan as read, with the revision for a conditional write.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct VersionedPlan {
+    /// Revision of the plan in the store.
+    pub revision: u64,
+    /// The plan.
+    pub plan: ShardPlan,
+}
+
+/// The next step of a takeover.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum TakeoverStep {
+    /// Read the plan from the store, not from a cache that may be stale.
+    ReadPlan,
+    /// Start with no records.
+    BeginEmpty,
+    /// Close this box's copy of the epoch for appends, then read it.
+    CloseAndRead(EpochId),
+    /// Write all records to new copies on the disks of this box and of the partners.
+    Copy {
+        /// The new epoch.
+        epoch: EpochId,
+        /// The boxes with the other copies.
+        partners: Vec<StorageBox>,
+    },
+    /// Write the plan conditionally on the revision of the one that was read.
+    WritePlan {
+        /// Revision of the plan that was read; `None` when there was none.
+        base: Option<u64>,
+        /// The new plan.
+        plan: ShardPlan,
+    },
+    /// Read the plan to check whether an earlier write was applied.
+    CheckPlan,
+    /// Serve the shard under this plan.
+    Serve {
+        /// Revision of the plan.
+        revision: u64,
+        /// The plan.
+        plan: ShardPlan,
+    },
+    /// Abandon this attempt.
+    Fail(TakeoverError),
+}
+
+/// Why a takeover failed.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+pub enum TakeoverError {
+    /// The store did not respond.
+    #[error("the store does not respond")]
+    NoStore,
+    /// The current plan differs from the expected one, or gives this box no copy.
+    #[error("another plan is in force")]
+    Superseded,
+    /// The local copy cannot be read.
+    #[error("cannot read the local copy of the log")]
+    NoCopy,
+    /// Too few other boxes respond to hold the copies.
+    #[error("too few other boxes are reachable to hold the copies")]
+    NoPartners,
+    /// A new copy could not be written on every box.
+    #[error("a new copy was not written")]
+    CopyFailed,
+}
+
+/// Outcome of the conditional write of a plan.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum PlanWriteOutcome {
+    /// The plan was written with this revision.
+    Done(u64),
+    /// The store holds another plan, or this one from an earlier attempt.
+    Conflict,
+    /// The write was not applied, or its outcome is unknown.
+    NoAnswer,
+}
+
+/// Maximum retries of the plan write before the takeover fails.
+const PLAN_WRITE_RETRIES: u32 = 8;
+
+#[derive(Debug, Clone, PartialEq, Eq)]
+enum TakeoverState {
+    Read,
+    Base,
+    Partners,
+    Copying,
+    Writing { tries: u32 },
+    Checking { tries: u32 },
+    Done(TakeoverStep),
+}
+
+/// One attempt to take over a shard.
+#[derive(Debug, Clone)]
+pub struct EpochTakeover {
+    me: StorageBox,
+    number: u64,
+    /// The epoch whose acknowledged records this box has in memory.
+    loaded_epoch: Option<EpochId>,
+    base: Option<VersionedPlan>,
+    partners: Vec<StorageBox>,
+    state: TakeoverState,
+}
+
+impl EpochTakeover {
+    /// Creates an attempt by box `me`.
+    ///
+    /// `number` is a random number, different for each attempt. `loaded_epoch` is the epoch that
+    /// this box has served until now, if its records are still in memory.
+    pub const fn new(me: StorageBox, number: u64, loaded_epoch: Option<EpochId>) -> Self {
+        Self {
+            me,
+            number,
+            loaded_epoch,
+            base: None,
+            partners: Vec::new(),
+            state: TakeoverState::Read,
+        }
+    }
+
+    /// Returns the next step. [`TakeoverStep::Serve`] and [`TakeoverStep::Fail`] are final.
+    pub fn step(&self) -> TakeoverStep {
+        match &self.state {
+            TakeoverState::Read => TakeoverStep::ReadPlan,
+            TakeoverState::Base => match &self.base {
+                None => TakeoverStep::BeginEmpty,
+                Some(base) => TakeoverStep::CloseAndRead(base.plan.epoch.clone()),
+            },
+            // The caller must call `set_partners` first, which leaves this state.
+            TakeoverState::Partners => TakeoverStep::Fail(TakeoverError::NoPartners),
+            TakeoverState::Copying => {
+                TakeoverStep::Copy { epoch: self.epoch(), partners: self.partners.clone() }
+            }
+            TakeoverState::Writing { .. } => TakeoverStep::WritePlan {
+                base: self.base.as_ref().map(|base| base.revision),
+                plan: self.plan(),
+            },
+            TakeoverState::Checking { .. } => TakeoverStep::CheckPlan,
+            TakeoverState::Done(step) => step.clone(),
+        }
+    }
+
+    /// Returns the plan that was read, if any.
+    pub const fn base(&self) -> Option<&VersionedPlan> {
+        self.base.as_ref()
+    }
+
+    /// Returns whether [`Self::set_partners`] must be called now.
+    pub fn needs_partners(&self) -> bool {
+        self.state == TakeoverState::Partners
+    }
+
+    fn epoch(&self) -> EpochId {
+        let token =
+            self.base.as_ref().map_or(FencingToken::default(), |base| base.plan.epoch.token);
+        EpochId { token: token.next(), number: self.number, by: self.me.box_id.clone() }
+    }
+
+    fn plan(&self) -> ShardPlan {
+        let copies = std::iter::once(self.me.clone()).chain(self.partners.iter().cloned());
+        ShardPlan { epoch: self.epoch(), copies: copies.collect() }
+    }
+
+    fn fail(&mut self, error: TakeoverError) {
+        self.state = TakeoverState::Done(TakeoverStep::Fail(error));
+    }
+
+    /// Records the plan as read; `Err` if the store did not respond.
+    pub fn plan_read(&mut self, read: Result<Option<VersionedPlan>, ()>) {
+        match self.state {
+            TakeoverState::Read => self.handle_first_read(read),
+            TakeoverState::Checking { tries } => self.handle_check(read, tries),
+            _ => {}
+        }
+    }
+
+    fn handle_first_read(&mut self, read: Result<Option<VersionedPlan>, ()>) {
+        let Ok(base) = read else { return self.fail(TakeoverError::NoStore) };
+        let me: &BoxId = &self.me.box_id;
+        if base.as_ref().is_some_and(|base| base.plan.rank(me).is_none()) {
+            return self.fail(TakeoverError::Superseded);
+        }
+        let epoch = base.as_ref().map(|base| base.plan.epoch.clone());
+        let loaded = epoch.is_some() && epoch == self.loaded_epoch;
+        self.base = base;
+        self.state = if loaded { TakeoverState::Partners } else { TakeoverState::Base };
+    }
+
+    fn handle_check(&mut self, read: Result<Option<VersionedPlan>, ()>, tries: u32) {
+        match read {
+            Ok(Some(current)) if current.plan == self.plan() => {
+                let (revision, plan) = (current.revision, current.plan);
+                self.state = TakeoverState::Done(TakeoverStep::Serve { revision, plan });
+            }
+            Ok(current)
+                if current.as_ref().map(|current| current.revision)
+                    != self.base.as_ref().map(|base| base.revision) =>
+            {
+                self.fail(TakeoverError::Superseded);
+            }
+            // The write was not applied, or is still in flight. Repeating the same conditional
+            // write is safe in both cases.
+            Ok(_) | Err(()) => self.retry_write(tries),
+        }
+    }
+
+    fn retry_write(&mut self, tries: u32) {
+        if tries >= PLAN_WRITE_RETRIES {
+            return self.fail(TakeoverError::NoStore);
+        }
+        self.state = TakeoverState::Writing { tries: tries + 1 };
+    }
+
+    /// Records whether the initial records are in memory.
+    pub fn base_loaded(&mut self, loaded: bool) {
+        if loaded {
+            self.state = TakeoverState::Partners;
+        } else {
+            self.fail(TakeoverError::NoCopy);
+        }
+    }
+
+    /// Sets the boxes for the other copies; `None` if there are too few.
+    pub fn set_partners(&mut self, partners: Option<Vec<StorageBox>>) {
+        match partners {
+            Some(partners) => {
+                self.partners = partners;
+                self.state = TakeoverState::Copying;
+            }
+            None => self.fail(TakeoverError::NoPartners),
+        }
+    }
+
+    /// Records whether all new copies are on disk.
+    pub fn copies_written(&mut self, all: bool) {
+        if all {
+            self.state = TakeoverState::Writing { tries: 0 };
+        } else {
+            self.fail(TakeoverError::CopyFailed);
+        }
+    }
+
+    /// Records the outcome of the plan write.
+    pub fn plan_written(&mut self, outcome: PlanWriteOutcome) {
+        let TakeoverState::Writing { tries } = self.state else { return };
+        match outcome {
+            PlanWriteOutcome::Done(revision) => {
+                let plan = self.plan();
+                self.state = TakeoverState::Done(TakeoverStep::Serve { revision, plan });
+            }
+            PlanWriteOutcome::Conflict => self.state = TakeoverState::Checking { tries },
+            PlanWriteOutcome::NoAnswer => self.retry_write(tries),
+        }
+    }
+}
--- a/crates/joblog/src/layout.rs
+++ b/crates/joblog/src/layout.rs
@@ -1,30 +1,31 @@
-//! Into how many shards the jobs of a deployment are divided.
+//! The number of shards that the jobs of a deployment are divided into.
 //!
-//! The boxes agree on the number once, when the deployment starts for the first time, by an object in the
-//! store; it never changes, since the shard of a job follows from it. One shard has the advantage that
-//! its server knows of all work; with more of them the loss of a server reaches only the trainers of its
-//! shard, and its book is copied in a part of the time.
+//! The boxes agree on the number through an object in the store when the deployment first starts.
+//! It never changes, because the shard of a job depends on it. With one shard, its server sees all
+//! work. With several, the loss of a server affects only the trainers of its shard, and less state
+//! is copied in a takeover.
 
 use serde::{Deserialize, Serialize};
 
-/// Boxes with disks for each copy of a shard: few enough copies on each box that the loss of one seldom
-/// concerns more than one shard, and a third of the boxes fill each other's places.
+/// Storage boxes per copy of a shard. Limits the copies on each box, so that the loss of a box
+/// rarely affects more than one shard.
 const BOXES_PER_COPY: usize = 3;
-/// Most shards that boxes agree on by themselves: each costs a plan in the store, and beats that name it.
-const MOST_SHARDS: usize = 16;
+/// Maximum number of shards chosen automatically. Each shard adds a plan to the store and an entry
+/// to heartbeats.
+const MAX_SHARDS: usize = 16;
 
-/// The number of shards, as the store holds it.
+/// The number of shards, as stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardLayout {
-    /// Jobs are divided into so many shards.
+    /// Number of shards.
     pub shards: u32,
 }
 
 impl ShardLayout {
-    /// The layout for this many boxes with disks, each shard having `copies` copies.
+    /// Returns the layout for `boxes` storage boxes and `copies` copies per shard.
     pub fn for_boxes(boxes: usize, copies: usize) -> Self {
         let shards = boxes / (copies.max(1) * BOXES_PER_COPY);
-        let shards = shards.clamp(1, MOST_SHARDS);
+        let shards = shards.clamp(1, MAX_SHARDS);
         Self { shards: u32::try_from(shards).unwrap_or(1) }
     }
 }
--- a/crates/joblog/src/plan.rs
+++ b/crates/joblog/src/plan.rs
@@ -1,4 +1,4 @@
-//! What the platform's store holds of a shard.
+//! The plan of a shard, as held in the platform's store.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,21 +6,21 @@
 use ids::{BoxId, DomainId, FencingToken};
 use serde::{Deserialize, Serialize};
 
-/// Why an epoch's name was refused.
+/// Error for text that is not a valid epoch id.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("`{0}` is not an epoch: write TOKEN.NUMBER.BOX, the number in hexadecimal")]
+#[error("`{0}` is not an epoch: expected TOKEN.NUMBER.BOX with NUMBER in hexadecimal")]
 pub struct EpochError(String);
 
-/// Names one epoch of a shard's log. The token orders epochs; the chance number and the box
-/// tell apart two candidates for the same token.
+/// Identifies one epoch of a shard's log. The token orders epochs; the random number and the box
+/// distinguish two candidates for the same token.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct EpochId {
-    /// Higher in every later plan.
+    /// Fencing token, higher in every later plan.
     pub token: FencingToken,
-    /// Drawn by the box that proposed the epoch.
+    /// Random number drawn by the box that proposed the epoch.
     pub number: u64,
-    /// That box.
+    /// The box that proposed the epoch.
     pub by: BoxId,
 }
 
@@ -34,12 +34,12 @@
     type Err = EpochError;
 
     fn from_str(text: &str) -> Result<Self, EpochError> {
-        let fault = || EpochError(text.chars().take(96).collect());
+        let error = || EpochError(text.chars().take(96).collect());
         let mut parts = text.splitn(3, '.');
-        let token = parts.next().and_then(|part| part.parse().ok()).ok_or_else(fault)?;
+        let token = parts.next().and_then(|part| part.parse().ok()).ok_or_else(error)?;
         let number = parts.next().and_then(|part| u64::from_str_radix(part, 16).ok());
-        let by = parts.next().and_then(|part| part.parse().ok()).ok_or_else(fault)?;
-        Ok(Self { token, number: number.ok_or_else(fault)?, by })
+        let by = parts.next().and_then(|part| part.parse().ok()).ok_or_else(error)?;
+        Ok(Self { token, number: number.ok_or_else(error)?, by })
     }
 }
 
@@ -60,30 +60,30 @@
 /// A box with a copy of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StorageBox {
-    /// The box.
+    /// Id of the box.
     pub box_id: BoxId,
-    /// Where other boxes reach it.
+    /// Address at which other boxes reach it.
     pub address: String,
     /// Its failure domain.
     pub domain: DomainId,
 }
 
-/// Who serves a shard, and where the copies of its log lie.
+/// The server of a shard and the boxes with copies of its log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardPlan {
-    /// The epoch in force.
+    /// The current epoch.
     pub epoch: EpochId,
-    /// All copies; the first is that of the box that serves the shard.
+    /// All boxes with a copy; the first one serves the shard.
     pub copies: Vec<StorageBox>,
 }
 
 impl ShardPlan {
-    /// The box that serves the shard.
+    /// Returns the box that serves the shard.
     pub fn server(&self) -> Option<&StorageBox> {
         self.copies.first()
     }
 
-    /// Place of a box among the copies.
+    /// Returns the position of a box among the copies.
     pub fn rank(&self, box_id: &BoxId) -> Option<usize> {
         self.copies.iter().position(|copy| copy.box_id == *box_id)
     }
--- a/crates/joblog/src/record.rs
+++ b/crates/joblog/src/record.rs
@@ -1,16 +1,16 @@
-//! Records as they lie on disk and travel: length, digest, message.
+//! Encoding of log records on disk and on the wire: length, digest, message.
 
 use ids::RecordLocation;
 use prost::Message;
 use wire::peer::LogRecord;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Bytes of a record's length.
+/// Size of a record's length prefix, in bytes.
 const LEN_BYTES: usize = 4;
-/// Bytes of a record's digest.
+/// Size of a record's digest, in bytes.
 const DIGEST_BYTES: usize = 8;
 
-/// Appends a record to `out`, and says where it lies there.
+/// Appends an encoded record to `out` and returns its location there.
 pub fn encode_record(record: &LogRecord, out: &mut Vec<u8>) -> RecordLocation {
     let offset = out.len();
     let body = record.encode_to_vec();
@@ -22,16 +22,18 @@
     RecordLocation { offset: offset as u64, len }
 }
 
-/// The whole records at the start of `bytes`, each with its length, and how many bytes they take
-/// together. What follows was torn by a loss of power, so nobody has been told that it is kept.
+/// Decodes the complete records at the start of `bytes`.
+///
+/// Returns the records with their encoded lengths, and the total number of bytes they occupy. The
+/// remaining bytes are an incomplete write, which was never acknowledged.
 pub fn decode_records(bytes: &[u8]) -> (Vec<(LogRecord, u32)>, usize) {
     let mut records = Vec::new();
-    let mut at = 0;
-    while let Some((record, len)) = decode_one(&bytes[at..]) {
+    let mut used = 0;
+    while let Some((record, len)) = decode_one(&bytes[used..]) {
         records.push((record, u32::try_from(len).unwrap_or(u32::MAX)));
-        at += len;
+        used += len;
     }
-    (records, at)
+    (records, used)
 }
 
 fn decode_one(bytes: &[u8]) -> Option<(LogRecord, usize)> {
--- a/crates/joblog/src/standby.rs
+++ b/crates/joblog/src/standby.rs
@@ -1,8 +1,9 @@
-//! Which boxes with disks are at work, and which stand by.
+//! Selection of active and standby storage boxes.
 //!
-//! Boxes at work beat with each other, so that any of them may be given a copy at once, and their number must not
-//! grow with the deployment: beats go with its square. A failure domain has a few of them, beside those that plans
-//! name; the others stand by, beat with nobody, and are called when too few of those at work are heard.
+//! Active boxes exchange heartbeats with each other, so that each of them can receive a copy
+//! immediately. The number of heartbeats grows with the square of the number of active boxes, so
+//! each failure domain has only a few, besides those that plans name. Standby boxes exchange no
+//! heartbeats; they are activated when too few active boxes are reachable.
 
 use std::collections::BTreeMap;
 
@@ -10,10 +11,11 @@
 
 use crate::StorageBox;
 
-/// Boxes at work in each failure domain: its part in the loss of some disks and of a whole domain, twice.
-const AT_WORK: usize = 4;
+/// Active boxes per failure domain. Enough to replace lost disks and the copies of a lost domain.
+const ACTIVE_PER_DOMAIN: usize = 4;
 
-/// The boxes at work, found alike on every box; `has_assignment` tells whether a plan names a box.
+/// Returns the active boxes, the same on every box. `has_assignment` returns whether a plan names
+/// a box.
 pub fn active_boxes<'a>(
     boxes: impl IntoIterator<Item = &'a StorageBox>,
     has_assignment: impl Fn(&StorageBox) -> bool,
@@ -25,10 +27,10 @@
     let mut active = Vec::new();
     for (domain, boxes) in domains {
         let ids = boxes.iter().map(|copy| &copy.box_id);
-        // The first of them also tells its domain of the store.
-        let first = coord::rendezvous::ranked(domain.as_str(), ids, AT_WORK);
-        let chosen = |copy: &&StorageBox| first.contains(&&copy.box_id) || has_assignment(copy);
-        active.extend(boxes.iter().copied().filter(chosen));
+        // The highest-ranked box is also the feed source of its domain.
+        let ranked = coord::rendezvous::ranked(domain.as_str(), ids, ACTIVE_PER_DOMAIN);
+        let is_active = |copy: &&StorageBox| ranked.contains(&&copy.box_id) || has_assignment(copy);
+        active.extend(boxes.iter().copied().filter(is_active));
     }
     active
 }
--- a/crates/joblog/tests/copies.rs
+++ b/crates/joblog/tests/copies.rs
@@ -1,4 +1,4 @@
-//! Copies on disk: records read back by their places, repeated appends, torn tails.
+//! Copies on disk: reading records by location, repeated appends, incomplete records at the end.
 
 use std::fs::{self, OpenOptions};
 use std::io::Write;
@@ -11,7 +11,7 @@
 
 const SHARD: ShardIndex = ShardIndex::new(0);
 
-/// A folder that goes with the test.
+/// A folder that is removed when the test ends.
 struct TestFolder(PathBuf);
 
 impl TestFolder {
@@ -23,12 +23,12 @@
 
 impl Drop for TestFolder {
     fn drop(&mut self) {
-        let _gone = fs::remove_dir_all(&self.0);
+        let _removed = fs::remove_dir_all(&self.0);
     }
 }
 
 fn epoch() -> EpochId {
-    "1.2.box-1".parse().expect("an epoch")
+    "1.2.box-1".parse().expect("valid epoch")
 }
 
 fn record(job: &str) -> LogRecord {
@@ -36,52 +36,55 @@
 }
 
 #[test]
-fn records_are_read_back_by_their_places() {
+fn records_are_read_back_by_location() {
     let test = TestFolder::new("places");
-    let folder = CopyFolder::open(&test.0).expect("a folder");
-    let mut file = folder.create(SHARD, &epoch()).expect("a copy");
+    let folder = CopyFolder::open(&test.0).expect("folder opens");
+    let mut file = folder.create(SHARD, &epoch()).expect("copy is created");
     let mut bytes = Vec::new();
-    let places: Vec<RecordLocation> =
+    let locations: Vec<RecordLocation> =
         ["a", "bb", "ccc"].iter().map(|job| encode_record(&record(job), &mut bytes)).collect();
-    file.append(0, &bytes).expect("appended");
-    file.sync().expect("on disk");
-    let read = folder.load(SHARD, &epoch(), &[places[2], places[0]]).expect("they lie there");
+    file.append(0, &bytes).expect("append succeeds");
+    file.sync().expect("sync succeeds");
+    let read = folder.load(SHARD, &epoch(), &[locations[2], locations[0]]).expect("records exist");
     assert_eq!(read, [record("ccc"), record("a")]);
     let mut seen = Vec::new();
-    folder.read(SHARD, &epoch(), |record, place| seen.push((record, place))).expect("readable");
-    let found: Vec<RecordLocation> = seen.iter().map(|(_, place)| *place).collect();
-    assert_eq!(found, places);
-    let wrong = RecordLocation { offset: places[1].offset + 1, len: places[1].len };
-    let fault = folder.load(SHARD, &epoch(), &[wrong]).expect_err("no record begins there");
-    assert!(matches!(fault, CopyError::NoRecord { .. }), "{fault}");
+    folder
+        .read(SHARD, &epoch(), |record, location| seen.push((record, location)))
+        .expect("copy is readable");
+    let found: Vec<RecordLocation> = seen.iter().map(|(_, location)| *location).collect();
+    assert_eq!(found, locations);
+    let wrong = RecordLocation { offset: locations[1].offset + 1, len: locations[1].len };
+    let error = folder.load(SHARD, &epoch(), &[wrong]).expect_err("no record starts there");
+    assert!(matches!(error, CopyError::NoRecord { .. }), "{error}");
 }
 
 #[test]
-fn the_last_append_may_be_repeated() {
+fn repeating_the_last_append_changes_nothing() {
     let test = TestFolder::new("repeated");
-    let folder = CopyFolder::open(&test.0).expect("a folder");
-    let mut file = folder.create(SHARD, &epoch()).expect("a copy");
+    let folder = CopyFolder::open(&test.0).expect("folder opens");
+    let mut file = folder.create(SHARD, &epoch()).expect("copy is created");
     let mut bytes = Vec::new();
     encode_record(&record("a"), &mut bytes);
     let len = bytes.len() as u64;
-    file.append(0, &bytes).expect("appended");
-    file.append(0, &bytes).expect("its answer was lost, it was sent again");
+    file.append(0, &bytes).expect("append succeeds");
+    file.append(0, &bytes).expect("repeated append succeeds");
     assert_eq!(file.len(), len);
-    file.append(len, &bytes).expect("the next one");
-    assert!(file.append(0, &bytes).is_err(), "an older one does not follow");
-    assert_eq!(folder.read(SHARD, &epoch(), |_, _| ()).expect("readable"), 2);
+    file.append(len, &bytes).expect("next append succeeds");
+    assert!(file.append(0, &bytes).is_err(), "an older append is rejected");
+    assert_eq!(folder.read(SHARD, &epoch(), |_, _| ()).expect("copy is readable"), 2);
 }
 
 #[test]
-fn a_torn_tail_is_left_out() {
+fn an_incomplete_last_record_is_ignored() {
     let test = TestFolder::new("torn");
-    let folder = CopyFolder::open(&test.0).expect("a folder");
-    let mut file = folder.create(SHARD, &epoch()).expect("a copy");
+    let folder = CopyFolder::open(&test.0).expect("folder opens");
+    let mut file = folder.create(SHARD, &epoch()).expect("copy is created");
     let mut bytes = Vec::new();
     encode_record(&record("a"), &mut bytes);
-    file.append(0, &bytes).expect("appended");
-    let path = fs::read_dir(&test.0).expect("listed").next().expect("a file").expect("read").path();
-    let mut tail = OpenOptions::new().append(true).open(path).expect("the copy");
-    tail.write_all(&bytes[..bytes.len() - 1]).expect("torn");
-    assert_eq!(folder.read(SHARD, &epoch(), |_, _| ()).expect("readable"), 1);
+    file.append(0, &bytes).expect("append succeeds");
+    let path =
+        fs::read_dir(&test.0).expect("listing").next().expect("a file").expect("entry").path();
+    let mut tail = OpenOptions::new().append(true).open(path).expect("copy opens");
+    tail.write_all(&bytes[..bytes.len() - 1]).expect("partial write succeeds");
+    assert_eq!(folder.read(SHARD, &epoch(), |_, _| ()).expect("copy is readable"), 1);
 }
--- a/crates/joblog/tests/epochs.rs
+++ b/crates/joblog/tests/epochs.rs
@@ -1,8 +1,8 @@
-//! Acknowledged records survive any order of crashes, lost disks, torn tails, freezes and lost
-//! answers, with several boxes that try to serve at once.
+//! Acknowledged records survive crashes, lost disks, incomplete writes, pauses and lost responses
+//! in any order, with several boxes attempting a takeover at the same time.
 //!
-//! The boxes run the real [`EpochTakeover`], one step at a time in random order; a box that is not
-//! picked for a while is frozen. Copies and the store are small models with the faults.
+//! The boxes run the real [`EpochTakeover`], one step at a time in random order, so a box may pause
+//! for a long time. The copies and the store are models that inject faults.
 
 use std::collections::{HashMap, HashSet};
 
@@ -23,7 +23,7 @@
 struct Store {
     plan: Option<VersionedPlan>,
     revision: u64,
-    /// Writes whose answer was lost and that are done later, if their condition still holds.
+    /// Writes whose response was lost, applied later if their condition still holds.
     late: Vec<(Option<u64>, ShardPlan)>,
 }
 
@@ -42,11 +42,11 @@
 struct Box {
     /// Records on disk, by epoch.
     disk: HashMap<EpochId, Vec<u64>>,
-    /// Copies that take appends; lost with the process.
+    /// Copies that accept appends; lost when the process ends.
     open: HashSet<EpochId>,
-    former: Option<EpochTakeover>,
-    book: Vec<u64>,
-    book_epoch: Option<EpochId>,
+    takeover: Option<EpochTakeover>,
+    records: Vec<u64>,
+    loaded_epoch: Option<EpochId>,
     serving: Option<ShardPlan>,
 }
 
@@ -66,16 +66,16 @@
     served: u64,
 }
 
-fn holder(index: usize) -> StorageBox {
+fn storage_box(index: usize) -> StorageBox {
     StorageBox {
-        box_id: format!("box-{index}").parse().expect("an id"),
+        box_id: format!("box-{index}").parse().expect("valid id"),
         address: format!("10.0.0.{index}:1"),
-        domain: format!("domain-{}", index % 3).parse().expect("an id"),
+        domain: format!("domain-{}", index % 3).parse().expect("valid id"),
     }
 }
 
 fn index_of(box_id: &BoxId) -> usize {
-    (0..BOXES).find(|index| holder(*index).box_id == *box_id).expect("a known box")
+    (0..BOXES).find(|index| storage_box(*index).box_id == *box_id).expect("known box")
 }
 
 impl World {
@@ -91,80 +91,81 @@
     }
 
     fn act(&mut self) {
-        let at = self.rng.random_range(0..BOXES);
+        let box_index = self.rng.random_range(0..BOXES);
         match self.rng.random_range(0..100) {
-            0..45 => self.step(at),
-            45..80 => self.append(at),
-            80..88 => self.begin(at),
-            88..93 => self.boxes[at].restart(),
-            93..96 => self.wipe(at),
+            0..45 => self.step(box_index),
+            45..80 => self.append(box_index),
+            80..88 => self.start_takeover(box_index),
+            88..93 => self.boxes[box_index].restart(),
+            93..96 => self.wipe(box_index),
             96..98 => self.late_write(),
-            _ => self.tear(at),
+            _ => self.tear(box_index),
         }
     }
 
-    /// Any box may try at any time: patience only saves work, it keeps nothing safe.
-    fn begin(&mut self, at: usize) {
+    /// Any box may attempt a takeover at any time: timeouts are not needed for safety.
+    fn start_takeover(&mut self, box_index: usize) {
         let number = self.rng.random();
-        let me = &mut self.boxes[at];
-        if me.former.is_none() && me.serving.is_none() {
-            me.former = Some(EpochTakeover::new(holder(at), number, me.book_epoch.clone()));
+        let me = &mut self.boxes[box_index];
+        if me.takeover.is_none() && me.serving.is_none() {
+            me.takeover =
+                Some(EpochTakeover::new(storage_box(box_index), number, me.loaded_epoch.clone()));
         }
     }
 
-    fn step(&mut self, at: usize) {
-        let Some(mut former) = self.boxes[at].former.take() else { return };
-        if former.needs_partners() {
+    fn step(&mut self, box_index: usize) {
+        let Some(mut takeover) = self.boxes[box_index].takeover.take() else { return };
+        if takeover.needs_partners() {
             let alive: Vec<StorageBox> =
-                (0..BOXES).filter(|other| *other != at).map(holder).collect();
-            let domain = holder(at).domain;
-            former.set_partners(choose_partners(ShardIndex::new(0), &domain, &alive, COPIES - 1));
+                (0..BOXES).filter(|other| *other != box_index).map(storage_box).collect();
+            let domain = storage_box(box_index).domain;
+            takeover.set_partners(choose_partners(ShardIndex::new(0), &domain, &alive, COPIES - 1));
         }
-        match former.step() {
+        match takeover.step() {
             TakeoverStep::ReadPlan | TakeoverStep::CheckPlan => {
                 let lost = self.rng.random_ratio(1, 10);
-                former.plan_read(if lost { Err(()) } else { Ok(self.store.plan.clone()) });
+                takeover.plan_read(if lost { Err(()) } else { Ok(self.store.plan.clone()) });
             }
             TakeoverStep::BeginEmpty => {
-                self.boxes[at].book.clear();
-                former.base_loaded(true);
+                self.boxes[box_index].records.clear();
+                takeover.base_loaded(true);
             }
             TakeoverStep::CloseAndRead(epoch) => {
-                let me = &mut self.boxes[at];
+                let me = &mut self.boxes[box_index];
                 me.open.remove(&epoch);
                 let read = me.disk.get(&epoch).cloned();
                 if let Some(records) = &read {
-                    me.book.clone_from(records);
-                    me.book_epoch = Some(epoch);
+                    me.records.clone_from(records);
+                    me.loaded_epoch = Some(epoch);
                 }
-                former.base_loaded(read.is_some());
+                takeover.base_loaded(read.is_some());
             }
             TakeoverStep::Copy { epoch, partners } => {
-                let all = self.copy(at, &epoch, &partners);
-                former.copies_written(all);
+                let all = self.copy(box_index, &epoch, &partners);
+                takeover.copies_written(all);
             }
             TakeoverStep::WritePlan { base, plan } => {
-                let end = self.write_plan(base, &plan);
-                former.plan_written(end);
+                let outcome = self.write_plan(base, &plan);
+                takeover.plan_written(outcome);
             }
-            TakeoverStep::Serve { plan, .. } => return self.serve(at, plan),
+            TakeoverStep::Serve { plan, .. } => return self.serve(box_index, plan),
             TakeoverStep::Fail(_) => {
-                self.boxes[at].book_epoch = None;
+                self.boxes[box_index].loaded_epoch = None;
                 return;
             }
         }
-        self.boxes[at].former = Some(former);
+        self.boxes[box_index].takeover = Some(takeover);
     }
 
-    fn copy(&mut self, at: usize, epoch: &EpochId, partners: &[StorageBox]) -> bool {
-        let book = self.boxes[at].book.clone();
-        self.boxes[at].disk.insert(epoch.clone(), book.clone());
+    fn copy(&mut self, box_index: usize, epoch: &EpochId, partners: &[StorageBox]) -> bool {
+        let records = self.boxes[box_index].records.clone();
+        self.boxes[box_index].disk.insert(epoch.clone(), records.clone());
         for partner in partners {
             if self.rng.random_ratio(1, 10) {
                 return false;
             }
             let other = &mut self.boxes[index_of(&partner.box_id)];
-            other.disk.insert(epoch.clone(), book.clone());
+            other.disk.insert(epoch.clone(), records.clone());
             other.open.insert(epoch.clone());
         }
         true
@@ -191,39 +192,39 @@
         }
     }
 
-    fn serve(&mut self, at: usize, plan: ShardPlan) {
-        let me = &mut self.boxes[at];
+    fn serve(&mut self, box_index: usize, plan: ShardPlan) {
+        let me = &mut self.boxes[box_index];
         let in_force = self.store.plan.as_ref().is_some_and(|read| read.plan == plan);
-        me.book_epoch = Some(plan.epoch.clone());
+        me.loaded_epoch = Some(plan.epoch.clone());
         me.serving = Some(plan);
         self.served += 1;
         if !in_force {
-            // It woke up late: appends must fail, and so must the proof that lets it be read.
+            // The plan was superseded while this box was paused. Its appends must fail.
             return;
         }
-        let held = &self.boxes[at].book;
+        let held = &self.boxes[box_index].records;
         assert!(
             held.starts_with(&self.acked),
-            "the new server holds {held:?}, acknowledged were {:?}",
+            "the new server has {held:?} but {:?} were acknowledged",
             self.acked
         );
-        // Records that nobody was told of may have been on the copy that was read; from here on
-        // they can be seen like all others.
+        // The copy that was read may have contained unacknowledged records. Readers can see them
+        // from now on, so they count as acknowledged.
         self.acked.clone_from(held);
     }
 
-    /// A record is acknowledged once all copies have it; any copy may fail to take it.
-    fn append(&mut self, at: usize) {
-        let Some(plan) = self.boxes[at].serving.clone() else { return };
+    /// Appends a record, which is acknowledged once all copies have it. Any copy may fail.
+    fn append(&mut self, box_index: usize) {
+        let Some(plan) = self.boxes[box_index].serving.clone() else { return };
         let record = self.next_record;
         self.next_record += 1;
         let mut all = true;
         for copy in &plan.copies {
             let index = index_of(&copy.box_id);
             let lost = self.rng.random_ratio(1, 20);
-            let offset = self.boxes[at].book.len();
+            let offset = self.boxes[box_index].records.len();
             let other = &mut self.boxes[index];
-            let open = index == at || other.open.contains(&plan.epoch);
+            let open = index == box_index || other.open.contains(&plan.epoch);
             let held = other.disk.get_mut(&plan.epoch).filter(|held| held.len() == offset);
             match held.filter(|_| open && !lost) {
                 Some(held) => held.push(record),
@@ -231,46 +232,44 @@
             }
         }
         if !all {
-            self.boxes[at].serving = None;
+            self.boxes[box_index].serving = None;
             return;
         }
-        self.boxes[at].book.push(record);
+        self.boxes[box_index].records.push(record);
         self.acked.push(record);
-        let held = &self.boxes[at].book;
-        assert_eq!(*held, self.acked, "a superseded server was acknowledged");
+        let held = &self.boxes[box_index].records;
+        assert_eq!(*held, self.acked, "an append of a superseded server was acknowledged");
     }
 
-    /// A disk may be lost while the store's plan names another copy that is whole.
-    fn wipe(&mut self, at: usize) {
+    /// Wipes a disk, if the stored plan names another complete copy.
+    fn wipe(&mut self, box_index: usize) {
         let Some(read) = &self.store.plan else { return };
         let plan = &read.plan;
-        // As far as the platform loses disks: not the last whole copy of the plan in force, and
-        // none while a plan is being changed.
-        let others_whole = plan
+        // Never wipes the last complete copy of the current plan, nor any disk during a takeover.
+        let other_complete = plan
             .copies
             .iter()
-            .filter(|copy| index_of(&copy.box_id) != at)
+            .filter(|copy| index_of(&copy.box_id) != box_index)
             .any(|copy| self.boxes[index_of(&copy.box_id)].disk.contains_key(&plan.epoch));
-        let changing = self.boxes.iter().any(|other| other.former.is_some());
-        if others_whole && !changing && self.store.late.is_empty() {
-            self.boxes[at] = Box::default();
+        let changing = self.boxes.iter().any(|other| other.takeover.is_some());
+        if other_complete && !changing && self.store.late.is_empty() {
+            self.boxes[box_index] = Box::default();
         }
     }
 
-    /// Power is lost in the middle of an append that nobody acknowledged: its record stays on
-    /// this disk or not.
-    fn tear(&mut self, at: usize) {
+    /// Power loss during an unacknowledged append whose record has reached this disk.
+    fn tear(&mut self, box_index: usize) {
         let record = self.next_record;
         self.next_record += 1;
         if let Some(read) = &self.store.plan
-            && read.plan.rank(&holder(at).box_id).is_some()
-            && self.boxes[at].serving.is_none()
-            && self.boxes[at].open.contains(&read.plan.epoch)
-            && let Some(held) = self.boxes[at].disk.get_mut(&read.plan.epoch)
+            && read.plan.rank(&storage_box(box_index).box_id).is_some()
+            && self.boxes[box_index].serving.is_none()
+            && self.boxes[box_index].open.contains(&read.plan.epoch)
+            && let Some(held) = self.boxes[box_index].disk.get_mut(&read.plan.epoch)
             && held.len() == self.acked.len()
         {
             held.push(record);
-            self.boxes[at].restart();
+            self.boxes[box_index].restart();
         }
     }
 }
@@ -286,7 +285,7 @@
         acked += world.acked.len();
         served += world.served;
     }
-    // The model must get somewhere, or it would prove nothing.
+    // Ensures that the scenarios make progress.
     assert!(acked > 50_000, "only {acked} records were acknowledged");
-    assert!(served > 20_000, "shards were served only {served} times");
+    assert!(served > 20_000, "a shard was served only {served} times");
 }
--- a/crates/joblog/tests/standby.rs
+++ b/crates/joblog/tests/standby.rs
@@ -1,48 +1,48 @@
-//! Boxes that beat with each other.
+//! Selection of the active boxes, which exchange heartbeats with each other.
 
 use ids::BoxId;
 use joblog::{StorageBox, active_boxes};
 
 fn boxes(count: usize, domains: usize) -> Vec<StorageBox> {
     let copy = |at: usize| StorageBox {
-        box_id: format!("keep-{at}").parse().expect("an id"),
+        box_id: format!("keep-{at}").parse().expect("valid id"),
         address: String::new(),
-        domain: format!("domain-{}", at % domains).parse().expect("an id"),
+        domain: format!("domain-{}", at % domains).parse().expect("valid id"),
     };
     (0..count).map(copy).collect()
 }
 
-fn at_work(boxes: &[StorageBox]) -> Vec<BoxId> {
+fn active_ids(boxes: &[StorageBox]) -> Vec<BoxId> {
     active_boxes(boxes, |_| false).into_iter().map(|copy| copy.box_id.clone()).collect()
 }
 
-/// Each box calls each other one, so beats would be ninety thousand a second among 150 boxes.
+/// Guards against heartbeat traffic that grows with the square of the deployment's size.
 #[test]
-fn the_boxes_that_beat_do_not_grow_with_the_deployment() {
-    assert_eq!(at_work(&boxes(150, 6)).len(), at_work(&boxes(300, 6)).len());
-    assert_eq!(at_work(&boxes(13, 4)).len(), 13, "a small one needs them all");
+fn the_number_of_active_boxes_does_not_grow_with_the_deployment() {
+    assert_eq!(active_ids(&boxes(150, 6)).len(), active_ids(&boxes(300, 6)).len());
+    assert_eq!(active_ids(&boxes(13, 4)).len(), 13, "all boxes of a small deployment are active");
 }
 
 #[test]
-fn every_domain_has_some_and_every_box_with_a_duty_is_one() {
+fn every_domain_and_every_assigned_box_is_active() {
     let boxes = boxes(60, 6);
-    let named = boxes[17].box_id.clone();
-    let chosen = active_boxes(&boxes, |copy| copy.box_id == named);
-    assert!(chosen.iter().any(|copy| copy.box_id == named));
+    let assigned = boxes[17].box_id.clone();
+    let active = active_boxes(&boxes, |copy| copy.box_id == assigned);
+    assert!(active.iter().any(|copy| copy.box_id == assigned));
     for domain in 0..6 {
         let domain = format!("domain-{domain}");
-        assert!(chosen.iter().filter(|copy| copy.domain.as_str() == domain).count() >= 4);
+        assert!(active.iter().filter(|copy| copy.domain.as_str() == domain).count() >= 4);
     }
 }
 
-/// Whatever the order in which a box lists the others, it finds the same.
+/// Guards against a selection that depends on the order of the list.
 #[test]
-fn all_boxes_agree_who_is_at_work() {
+fn all_boxes_choose_the_same_active_boxes() {
     let boxes = boxes(40, 3);
     let reversed: Vec<StorageBox> = boxes.iter().rev().cloned().collect();
     let sorted = |mut ids: Vec<BoxId>| {
         ids.sort();
         ids
     };
-    assert_eq!(sorted(at_work(&boxes)), sorted(at_work(&reversed)));
+    assert_eq!(sorted(active_ids(&boxes)), sorted(active_ids(&reversed)));
 }
--- a/crates/xtask/src/ablate.rs
+++ b/crates/xtask/src/ablate.rs
@@ -20,7 +20,7 @@
         name: "trainer-shards",
         without: "trainers behind one host share one server",
         edit: SourceEdit {
-            file: "crates/joblog/src/duty.rs",
+            file: "crates/joblog/src/takeover.rs",
             from: r#"format!("{} {model}", host.to_ascii_lowercase())"#,
             to: r#"format!("{} {}", host.to_ascii_lowercase(), &model[..0])"#,
         },
@@ -74,7 +74,7 @@
         name: "lost-copy",
         without: "copies that are known to be lost are waited for",
         edit: SourceEdit {
-            file: "crates/joblog/src/duty.rs",
+            file: "crates/joblog/src/takeover.rs",
             from: "let rank = rank.saturating_sub(view.lost_before);",
             to: "let rank = rank.saturating_sub(0 * view.lost_before);",
         },
