--- a/crates/coord/src/follower.rs
+++ b/crates/coord/src/follower.rs
@@ -1,21 +1,21 @@
-//! Follows configuration generations, which only grow.
+//! Tracks the configuration in force and its generation.
 //!
-//! A document is applied only when its generation is higher than any seen, so a stale read, a
-//! replayed watch event or a peer that lags can never take the box back. Generations heard on
-//! heartbeats tell the follower that it is behind, and who to ask.
+//! A document is applied only if its generation is higher than the current one, so a stale read, a
+//! replayed watch event or a lagging peer cannot revert the configuration. Generations in
+//! heartbeats show that the box is behind and which peer to fetch from.
 
 use ids::{BoxId, Generation};
 
-/// What became of an offered document.
+/// Outcome of offering a document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OfferOutcome {
-    /// It is newer and now in force.
+    /// The document is newer and now in force.
     Applied,
-    /// It is not newer; nothing changed.
+    /// The document is not newer; nothing changed.
     NotNewer,
 }
 
-/// One box's view of the configuration.
+/// The configuration as seen by one box.
 ///
 /// ```
 /// use coord::follower::{ConfigFollower, OfferOutcome};
@@ -23,7 +23,7 @@
 ///
 /// let mut follower = ConfigFollower::default();
 /// assert_eq!(follower.offer(Generation::new(5), "five"), OfferOutcome::Applied);
-/// // A stale read changes nothing.
+/// // A stale read is ignored.
 /// assert_eq!(follower.offer(Generation::new(4), "four"), OfferOutcome::NotNewer);
 /// assert_eq!(follower.document(), Some(&"five"));
 /// ```
@@ -31,6 +31,7 @@
 pub struct ConfigFollower<C> {
     generation: Generation,
     document: Option<C>,
+    /// Highest newer generation observed, and a peer that has it.
     ahead: Option<(Generation, BoxId)>,
     platform_read: bool,
 }
@@ -47,12 +48,12 @@
 }
 
 impl<C> ConfigFollower<C> {
-    /// Generation in force; zero before the first.
+    /// Returns the generation in force; zero before the first document.
     pub const fn generation(&self) -> Generation {
         self.generation
     }
 
-    /// Document in force.
+    /// Returns the document in force.
     pub const fn document(&self) -> Option<&C> {
         self.document.as_ref()
     }
@@ -70,30 +71,30 @@
         OfferOutcome::Applied
     }
 
-    /// Notes that the platform answered, even when it held no document.
-    pub const fn platform_answered(&mut self) {
+    /// Records that the platform responded, possibly without a document.
+    pub const fn platform_responded(&mut self) {
         self.platform_read = true;
     }
 
-    /// Notes the generation a peer says it has.
+    /// Records the generation that a peer reports.
     pub fn observe_generation(&mut self, generation: Generation, peer: &BoxId) {
-        let known = self.ahead.as_ref().map_or(self.generation, |(ahead, _)| *ahead);
-        if generation > known {
+        let highest = self.ahead.as_ref().map_or(self.generation, |(ahead, _)| *ahead);
+        if generation > highest {
             self.ahead = Some((generation, peer.clone()));
         }
     }
 
-    /// The peer to fetch from, while one is known to be ahead.
+    /// Returns the peer to fetch a newer document from, if any is ahead.
     pub fn fetch_from(&self) -> Option<&BoxId> {
         self.ahead.as_ref().map(|(_, peer)| peer)
     }
 
-    /// Forgets who is ahead after a fetch failed; the next heartbeat names a peer again.
+    /// Clears the peer after a failed fetch; a later heartbeat sets it again.
     pub fn fetch_failed(&mut self) {
         self.ahead = None;
     }
 
-    /// Whether the box has learnt the newest generation it could ask for.
+    /// Returns whether the box has a document, or the platform has responded.
     pub const fn is_ready(&self) -> bool {
         self.document.is_some() || self.platform_read
     }
--- a/crates/coord/src/lease.rs
+++ b/crates/coord/src/lease.rs
@@ -1,115 +1,115 @@
-//! A lease held through conditional updates of one object, with a fencing token.
+//! A lease with a fencing token, held through conditional updates of one object.
 //!
-//! Safety rests on three rules, none of which compares wall clocks:
+//! Safety depends on three rules, none of which compares wall clocks:
 //!
-//! 1. The holder counts its term from *before* it sent the write, and stops acting a margin
+//! 1. The holder measures its term from *before* it sent the write, and stops acting a margin
 //!    before the term ends.
-//! 2. A taker must itself have watched the object stay unchanged for a full term.
-//! 3. Each change of holder raises the token, so receivers can refuse an earlier holder.
+//! 2. A new holder must have observed the object unchanged for a full term.
+//! 3. Each change of holder raises the token, so receivers can reject an earlier holder.
 //!
-//! An answer lost after the write took effect is resolved by reading the object back and
-//! looking for the write's own number.
+//! If the response to a write is lost, the claim reads the object back and compares the number of
+//! the write.
 
 use std::time::Duration;
 
 use ids::{BoxId, FencingToken, Incarnation, Moment, ObjectVersion, whole_millis};
 use serde::{Deserialize, Serialize};
 
-/// Share of the term kept as a margin: the holder stops acting one part in this many early.
-const MARGIN_PARTS: u32 = 5;
-/// The holder renews after one part in this many of the term, leaving two tries to spare.
-const RENEW_PARTS: u32 = 3;
-/// A lease is taken this long before the gap after its last holder is over: the time that a read
-/// and a write take in a store that is slow.
-const TAKE_LEAD: Duration = Duration::from_millis(500);
-/// A waiting claim reads the object this many times in a term.
+/// The holder stops acting `1 / MARGIN_DIVISOR` of the term before the term ends.
+const MARGIN_DIVISOR: u32 = 5;
+/// The holder renews after `1 / RENEWAL_DIVISOR` of the term, which leaves time for two retries.
+const RENEWAL_DIVISOR: u32 = 3;
+/// Time before the end of the gap at which a lease is acquired. Covers a read and a write in a
+/// slow store.
+const ACQUIRE_LEAD: Duration = Duration::from_millis(500);
+/// Number of times per term that a waiting claim reads the object.
 const READS_PER_TERM: u32 = 4;
 
-/// What the platform holds for one lease.
+/// The stored record of one lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// Who holds the lease.
+    /// The box that holds the lease.
     pub holder: BoxId,
-    /// Which life of the holder took it.
+    /// Incarnation of the holder.
     pub incarnation: Incarnation,
-    /// Grows with each change of holder.
+    /// Fencing token; increases with each change of holder.
     pub token: FencingToken,
-    /// Where other boxes reach the holder.
+    /// Address at which other boxes reach the holder.
     pub address: String,
     /// Length of the term, in milliseconds.
     pub term_ms: u64,
-    /// Number of the write within the holder's life; tells a lost answer from a lost write.
+    /// Number of the write within the incarnation. Distinguishes a lost response from a lost write.
     pub write: u64,
-    /// Whether the holder gave the lease up; a released lease may be taken at once.
+    /// Whether the holder released the lease; another box may acquire it immediately.
     pub released: bool,
-    /// How long after this write the holder still keeps quiet because of the one before it.
+    /// Remaining quiet period after the previous holder at the time of this write, in milliseconds.
     #[serde(default)]
     pub quiet_ms: u64,
 }
 
-/// A record as read, with the version a conditional update must name.
+/// A record as read, with the version for a conditional update.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VersionedLease {
-    /// The object's version.
+    /// Version of the object.
     pub version: ObjectVersion,
     /// The record.
     pub record: LeaseRecord,
 }
 
-/// What the claim wants done; at most one action is outstanding.
+/// An action to perform for a claim; at most one is outstanding.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseAction {
     /// Read the object, then call [`LeaseClaim::read_done`].
     Read,
     /// Write conditionally, then call [`LeaseClaim::write_done`].
     Write {
-        /// The version the write is conditional on; zero means the object must be absent.
+        /// Required version of the object; zero means that the object must be absent.
         expect: ObjectVersion,
         /// The record to write.
         record: LeaseRecord,
     },
 }
 
-/// A write of another holder, heard from itself.
+/// A holder's report of its own last write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeaseReport {
     /// The holder.
     pub holder: BoxId,
-    /// The token it holds the lease under.
+    /// The token of its lease.
     pub token: FencingToken,
-    /// Number of its last write that took effect.
+    /// Number of its last applied write.
     pub write: u64,
-    /// When this was first heard; the write is older.
+    /// When the report was first received; the write is older.
     pub heard_at: Moment,
 }
 
 impl LeaseReport {
-    fn is_of(&self, record: &LeaseRecord) -> bool {
+    fn matches(&self, record: &LeaseRecord) -> bool {
         (&self.holder, self.token, self.write) == (&record.holder, record.token, record.write)
     }
 }
 
-/// How a read ended.
+/// Outcome of a read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// The object as it is.
+    /// The current object.
     Found(VersionedLease),
-    /// There is no such object.
+    /// The object does not exist.
     Absent,
-    /// Nobody answered.
+    /// The store did not respond.
     NoAnswer,
 }
 
-/// How a conditional write ended.
+/// Outcome of a conditional write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It took effect.
+    /// The write was applied; the object has this version.
     Applied(ObjectVersion),
-    /// Somebody else changed the object first.
+    /// The object has another version than required.
     Conflict,
-    /// It did not take effect; the store was not reached.
+    /// The write was not applied because the store was not reached.
     NotApplied,
-    /// It may have taken effect.
+    /// The write may have been applied.
     Unknown,
 }
 
@@ -117,7 +117,7 @@
 struct Held {
     token: FencingToken,
     version: ObjectVersion,
-    counted_from: Moment,
+    term_start: Moment,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -136,7 +136,7 @@
 
 /// One box's claim on one lease.
 ///
-/// Whoever runs it polls it, carries the actions out and reports how they ended:
+/// The caller polls the claim, performs the returned actions and reports their outcomes:
 ///
 /// ```
 /// use std::time::Duration;
@@ -151,11 +151,11 @@
 /// let now = Moment::START;
 /// assert_eq!(claim.poll(now), Some(LeaseAction::Read));
 /// claim.read_done(now, ReadOutcome::Absent);
-/// let Some(LeaseAction::Write { expect, .. }) = claim.poll(now) else { panic!("it writes") };
+/// let Some(LeaseAction::Write { expect, .. }) = claim.poll(now) else { panic!("no write") };
 /// assert_eq!(expect, ObjectVersion::default());
 /// claim.write_done(now, WriteOutcome::Applied(ObjectVersion::new(1)));
 ///
-/// // It may act under its token until a fifth of the term before the end.
+/// // It may act under its token until 20% of the term before the end.
 /// assert_eq!(claim.held(now + term / 2), Some(FencingToken::new(1)));
 /// assert_eq!(claim.held(now + term), None);
 /// # Ok::<(), ids::IdError>(())
@@ -171,21 +171,23 @@
     held: Option<Held>,
     watched: Option<Watched>,
     other: Option<LeaseRecord>,
-    lost_write: Option<(FencingToken, u64, Moment)>,
-    takeable: Option<(ObjectVersion, FencingToken)>,
-    /// Tokens up to this one have been seen in use, whatever the object says.
-    seen: FencingToken,
-    note: Option<LeaseReport>,
-    /// Least time between the last act of one holder and the first of another.
+    /// Token, number and send time of a write with an unknown outcome.
+    uncertain_write: Option<(FencingToken, u64, Moment)>,
+    /// Version and token for acquiring the lease at the next poll.
+    acquirable: Option<(ObjectVersion, FencingToken)>,
+    /// Highest token observed in use, in the object or elsewhere.
+    highest_seen: FencingToken,
+    report: Option<LeaseReport>,
+    /// Minimum time between the last action of one holder and the first of the next.
     gap: Duration,
-    /// Before this moment a holder keeps quiet because of the one before it.
+    /// End of the quiet period after the previous holder; this holder must not act before.
     quiet_until: Moment,
     next_at: Moment,
     pending: Pending,
 }
 
 impl LeaseClaim {
-    /// A claim that starts by reading the object.
+    /// Creates a claim that starts by reading the object.
     pub fn new(me: BoxId, incarnation: Incarnation, address: String, term: Duration) -> Self {
         Self {
             me,
@@ -197,10 +199,10 @@
             held: None,
             watched: None,
             other: None,
-            lost_write: None,
-            takeable: None,
-            seen: FencingToken::default(),
-            note: None,
+            uncertain_write: None,
+            acquirable: None,
+            highest_seen: FencingToken::default(),
+            report: None,
             gap: Duration::ZERO,
             quiet_until: Moment::START,
             next_at: Moment::START,
@@ -208,123 +210,123 @@
         }
     }
 
-    /// The token under which this box may act at `now`; `None` when it must not act.
+    /// Returns the token under which this box may act at `now`, or `None` if it must not act.
     pub fn held(&self, now: Moment) -> Option<FencingToken> {
         let held = self.held?;
-        let margin = self.term / MARGIN_PARTS;
-        let acts_until = held.counted_from + self.term.saturating_sub(margin);
+        let margin = self.term / MARGIN_DIVISOR;
+        let acts_until = held.term_start + self.term.saturating_sub(margin);
         (now < acts_until).then_some(held.token)
     }
 
-    /// Whether the lease was last read in the hands of an earlier life of this box.
+    /// Returns whether an earlier incarnation of this box held the lease when it was last read.
     pub fn held_by_earlier_incarnation(&self) -> bool {
         self.other.as_ref().is_some_and(|record| record.holder == self.me)
     }
 
-    /// Whether this box holds the lease for all it knows, though perhaps not for long enough
-    /// to act.
+    /// Returns whether this box believes it holds the lease. It may be too close to the end of the
+    /// term to act; see [`Self::held`].
     pub const fn is_held(&self) -> bool {
         self.held.is_some()
     }
 
-    /// The other holder last read, while this box does not hold the lease.
+    /// Returns the record of the other holder last read, while this box does not hold the lease.
     pub fn other_holder(&self) -> Option<&LeaseRecord> {
         self.other.as_ref()
     }
 
-    /// Number of the last write that took effect, while this box holds the lease.
+    /// Returns the number of the last applied write, while this box holds the lease.
     pub fn held_write(&self) -> Option<u64> {
         self.held.map(|_| self.applied_write)
     }
 
-    /// Sets the least time between the last act of one holder and the first of another.
+    /// Sets the minimum time between the last action of one holder and the first of the next.
     #[must_use]
     pub const fn with_gap(mut self, gap: Duration) -> Self {
         self.gap = gap;
         self
     }
 
-    /// From when on a holder may act: the one before it has been quiet for the gap by then.
+    /// Returns when this holder may start to act: the gap after the previous holder is over.
     pub const fn quiet_until(&self) -> Moment {
         self.quiet_until
     }
 
-    /// Takes what a holder said of its own last write. If the object still holds that write when
-    /// it is read, it has been unchanged since then, and the wait for the term is the shorter.
-    pub fn record_report(&mut self, note: LeaseReport) {
+    /// Records a holder's report of its last write. If the object contains the same write when it
+    /// is read, it has not changed since the report, which shortens the wait for the term.
+    pub fn record_report(&mut self, report: LeaseReport) {
         if self
-            .note
+            .report
             .as_ref()
-            .is_some_and(|known| known.write == note.write && known.token == note.token)
+            .is_some_and(|known| known.write == report.write && known.token == report.token)
         {
             return;
         }
-        self.note = Some(note);
+        self.report = Some(report);
     }
 
-    /// Notes a token seen in use; the next one taken is higher. A holder under a lower token
-    /// takes its own lease anew, above the one seen.
-    pub fn observe_token(&mut self, now: Moment, seen: FencingToken) {
-        self.seen = self.seen.max(seen);
-        let Some(held) = self.held.filter(|held| held.token < self.seen) else {
+    /// Records a token observed in use; the next token of this claim is higher. A holder with a
+    /// lower token acquires its own lease again under a higher one.
+    pub fn observe_token(&mut self, now: Moment, token: FencingToken) {
+        self.highest_seen = self.highest_seen.max(token);
+        let Some(held) = self.held.filter(|held| held.token < self.highest_seen) else {
             return;
         };
         if self.pending == Pending::Nothing {
             self.held = None;
-            self.take_soon(now, held.version, self.seen.next());
+            self.acquire_soon(now, held.version, self.highest_seen.next());
         }
     }
 
-    /// Reads the object at the next poll instead of waiting for the next turn.
+    /// Makes the next read due at `now`, unless this box holds the lease.
     pub fn expedite(&mut self, now: Moment) {
         if self.held.is_none() {
             self.next_at = self.next_at.min(now);
         }
     }
 
-    /// Takes the lease from a holder that still renews it. Only for duties that stay safe
-    /// under two holders; the earlier one learns of it at its next renewal.
+    /// Takes the lease from a holder that still renews it. Safe only for work that tolerates two
+    /// holders, because the previous holder does not learn of it before its next renewal.
     pub fn force_takeover(&mut self, now: Moment) {
         let Some(record) = &self.other else { return };
         let Some(watched) = self.watched else { return };
         if self.held.is_none() && self.pending == Pending::Nothing {
             let token = record.token.next();
-            self.take_soon(now, watched.version, token);
+            self.acquire_soon(now, watched.version, token);
         }
     }
 
-    /// When [`Self::poll`] next has something to do.
+    /// Returns when [`Self::poll`] next has an action.
     pub fn next_at(&self) -> Moment {
         if self.pending == Pending::Nothing { self.next_at } else { Moment::NEVER }
     }
 
-    /// The next action, if one is due.
+    /// Returns the next action, if one is due.
     pub fn poll(&mut self, now: Moment) -> Option<LeaseAction> {
         if self.pending != Pending::Nothing || now < self.next_at {
             return None;
         }
-        if self.lost_write.is_some() {
+        if self.uncertain_write.is_some() {
             return Some(self.start_read());
         }
         if let Some(held) = self.held {
             return Some(self.start_write(now, held.version, held.token, false));
         }
-        if let Some((version, token)) = self.takeable.take() {
-            let token = token.max(self.seen.next());
+        if let Some((version, token)) = self.acquirable.take() {
+            let token = token.max(self.highest_seen.next());
             return Some(self.start_write(now, version, token, false));
         }
         Some(self.start_read())
     }
 
-    /// Takes the answer to a read.
+    /// Applies the outcome of a read.
     pub fn read_done(&mut self, now: Moment, outcome: ReadOutcome) {
         self.pending = Pending::Nothing;
-        let sighting = match outcome {
-            ReadOutcome::Found(sighting) => sighting,
+        let lease = match outcome {
+            ReadOutcome::Found(lease) => lease,
             ReadOutcome::Absent => {
-                self.lost_write = None;
+                self.uncertain_write = None;
                 self.held = None;
-                self.take_soon(now, ObjectVersion::default(), FencingToken::new(1));
+                self.acquire_soon(now, ObjectVersion::default(), FencingToken::new(1));
                 return;
             }
             ReadOutcome::NoAnswer => {
@@ -332,19 +334,19 @@
                 return;
             }
         };
-        let lost = self.lost_write.take();
-        if self.is_mine(&sighting.record) {
-            self.adopt(now, &sighting, lost);
+        let uncertain = self.uncertain_write.take();
+        if self.is_own(&lease.record) {
+            self.adopt(now, &lease, uncertain);
             return;
         }
         self.held = None;
-        self.watch(now, sighting);
+        self.watch(now, lease);
     }
 
-    /// Takes the outcome of a conditional write.
+    /// Applies the outcome of a conditional write.
     pub fn write_done(&mut self, now: Moment, outcome: WriteOutcome) {
         if self.pending == Pending::Release {
-            // Freed, or run out soon: either way not held any more.
+            // If the release was not applied, the lease expires by itself.
             self.pending = Pending::Nothing;
             self.next_at = now;
             return;
@@ -359,20 +361,21 @@
                 self.hold(token, version, sent_at);
             }
             WriteOutcome::Conflict => {
-                // Perhaps an earlier write of ours, whose answer was lost: only a read tells.
-                self.lost_write = Some((token, write, sent_at));
+                // The conflict may be with an earlier write of this claim whose response was lost.
+                // A read resolves this.
+                self.uncertain_write = Some((token, write, sent_at));
                 self.next_at = now;
             }
             WriteOutcome::Unknown => {
-                self.lost_write = Some((token, write, sent_at));
-                self.next_at = now + self.term / (READS_PER_TERM * MARGIN_PARTS);
+                self.uncertain_write = Some((token, write, sent_at));
+                self.next_at = now + self.term / (READS_PER_TERM * MARGIN_DIVISOR);
             }
             WriteOutcome::NotApplied => self.next_at = now + self.term / READS_PER_TERM,
         }
     }
 
-    /// Gives the lease up; the action, if any, marks the object as free to take at once. A
-    /// claim that is polled again claims again.
+    /// Releases the lease. The returned action, if any, marks the object as released. Polling the
+    /// claim again acquires the lease again.
     pub fn release(&mut self, now: Moment) -> Option<LeaseAction> {
         let held = self.held.take()?;
         let action = self.start_write(now, held.version, held.token, true);
@@ -407,74 +410,74 @@
         LeaseAction::Write { expect, record }
     }
 
-    fn is_mine(&self, record: &LeaseRecord) -> bool {
+    fn is_own(&self, record: &LeaseRecord) -> bool {
         record.holder == self.me && record.incarnation == self.incarnation && !record.released
     }
 
-    fn hold(&mut self, token: FencingToken, version: ObjectVersion, counted_from: Moment) {
-        self.held = Some(Held { token, version, counted_from });
+    fn hold(&mut self, token: FencingToken, version: ObjectVersion, term_start: Moment) {
+        self.held = Some(Held { token, version, term_start });
         self.watched = None;
         self.other = None;
-        self.next_at = counted_from + self.term / RENEW_PARTS;
+        self.next_at = term_start + self.term / RENEWAL_DIVISOR;
     }
 
     fn adopt(
         &mut self,
         now: Moment,
-        sighting: &VersionedLease,
-        lost: Option<(FencingToken, u64, Moment)>,
+        lease: &VersionedLease,
+        uncertain: Option<(FencingToken, u64, Moment)>,
     ) {
-        let token = sighting.record.token;
-        if let Some((_, write, sent_at)) = lost
-            && write == sighting.record.write
+        let token = lease.record.token;
+        if let Some((_, write, sent_at)) = uncertain
+            && write == lease.record.write
         {
             self.applied_write = write;
-            self.hold(token, sighting.version, sent_at);
+            self.hold(token, lease.version, sent_at);
             return;
         }
-        self.applied_write = sighting.record.write;
-        // Ours, but from an earlier write: keep the earlier count and renew at once.
-        let counted_from = self.held.map_or(Moment::START, |held| held.counted_from);
-        self.hold(token, sighting.version, counted_from);
+        self.applied_write = lease.record.write;
+        // An earlier write of this claim: keep the start of the term and renew immediately.
+        let term_start = self.held.map_or(Moment::START, |held| held.term_start);
+        self.hold(token, lease.version, term_start);
         self.next_at = now;
     }
 
-    fn watch(&mut self, now: Moment, sighting: VersionedLease) {
+    fn watch(&mut self, now: Moment, lease: VersionedLease) {
         let unchanged_since = match self.watched {
-            Some(watched) if watched.version == sighting.version => watched.unchanged_since,
+            Some(watched) if watched.version == lease.version => watched.unchanged_since,
             _ => now,
         };
-        let noted = self.note.as_ref().filter(|note| note.is_of(&sighting.record));
+        let matching = self.report.as_ref().filter(|report| report.matches(&lease.record));
         let unchanged_since =
-            noted.map_or(unchanged_since, |note| note.heard_at.min(unchanged_since));
-        self.watched = Some(Watched { version: sighting.version, unchanged_since });
-        let term = Duration::from_millis(sighting.record.term_ms);
-        let token = sighting.record.token.next();
-        // One box runs one process at a time: an earlier life of this box acts no more.
-        let earlier_life = sighting.record.holder == self.me;
-        let free = sighting.record.released || earlier_life;
-        let acted_until = unchanged_since + term.saturating_sub(term / MARGIN_PARTS);
-        // Before the gap is over a taker could not act anyway, while the holder, should it come
-        // back, could at once: so it is left the lease until shortly before.
-        let worth_taking = acted_until + self.gap.saturating_sub(TAKE_LEAD);
-        let due = worth_taking.max(unchanged_since + term);
+            matching.map_or(unchanged_since, |report| report.heard_at.min(unchanged_since));
+        self.watched = Some(Watched { version: lease.version, unchanged_since });
+        let term = Duration::from_millis(lease.record.term_ms);
+        let token = lease.record.token.next();
+        // A box runs one process at a time, so an earlier incarnation no longer acts.
+        let earlier_incarnation = lease.record.holder == self.me;
+        let free = lease.record.released || earlier_incarnation;
+        let acted_until = unchanged_since + term.saturating_sub(term / MARGIN_DIVISOR);
+        // A new holder cannot act before the gap is over, while the previous one could resume
+        // immediately. The lease is therefore acquired only shortly before the end of the gap.
+        let acquire_at = acted_until + self.gap.saturating_sub(ACQUIRE_LEAD);
+        let due = acquire_at.max(unchanged_since + term);
         if free || now >= due {
-            self.quiet_until = if earlier_life {
-                now + Duration::from_millis(sighting.record.quiet_ms)
-            } else if sighting.record.released {
+            self.quiet_until = if earlier_incarnation {
+                now + Duration::from_millis(lease.record.quiet_ms)
+            } else if lease.record.released {
                 now + self.gap
             } else {
                 acted_until + self.gap
             };
-            self.take_soon(now, sighting.version, token);
+            self.acquire_soon(now, lease.version, token);
         } else {
             self.next_at = due.min(now + term / READS_PER_TERM);
         }
-        self.other = Some(sighting.record);
+        self.other = Some(lease.record);
     }
 
-    fn take_soon(&mut self, now: Moment, version: ObjectVersion, token: FencingToken) {
-        self.takeable = Some((version, token));
+    fn acquire_soon(&mut self, now: Moment, version: ObjectVersion, token: FencingToken) {
+        self.acquirable = Some((version, token));
         self.next_at = now;
     }
 }
--- a/crates/coord/src/lib.rs
+++ b/crates/coord/src/lib.rs
@@ -1,13 +1,13 @@
-//! Coordination parts that others can embed.
+//! Embeddable building blocks for coordination.
 //!
-//! Each part is a state machine: typed inputs and a [`ids::Moment`] go in, typed actions come
-//! out. None does I/O, reads a clock or knows a process, so the same code runs in the daemon,
-//! under a test's paused clock and in an embedder's program.
+//! Each module is a state machine that takes typed inputs and an [`ids::Moment`] and returns typed
+//! actions. None performs I/O or reads a clock, so the same code runs in the daemon, in tests with
+//! a simulated clock and in other programs.
 //!
-//! * [`lease`]: a lease kept in a conditional-update store, with fencing tokens.
-//! * [`members`]: which boxes live, are suspected, or are leaving.
-//! * [`follower`]: configuration generations that only grow.
-//! * [`rendezvous`]: the same choice of box on every box, without talking.
+//! * [`lease`]: a lease held in a store with conditional updates, with fencing tokens.
+//! * [`members`]: membership: which boxes are live, suspected or leaving.
+//! * [`follower`]: monotonic configuration generations.
+//! * [`rendezvous`]: rendezvous hashing, which makes all boxes choose the same box.
 //! * [`retry`]: retry budgets and jittered backoff.
 
 pub mod follower;
--- a/crates/coord/src/members.rs
+++ b/crates/coord/src/members.rs
@@ -1,11 +1,13 @@
-//! Which boxes live, are suspected or are leaving, as one box sees it.
+//! Membership as seen by one box: which boxes are live, suspected or leaving.
 //!
-//! Within a failure domain every box beats to every other once a second: a compact beat, with
-//! its whole record on every fifth. Between domains only delegates beat (the two boxes of a
-//! domain ranked highest), to a few domains in turn. A box therefore knows all members of its
-//! own domain and a handful of contacts in each other one, whatever the fleet's size.
+//! Within a failure domain every box sends a heartbeat to every other box once a second. Every
+//! fifth heartbeat includes the sender's full record. Between domains only delegates (the two
+//! highest-ranked boxes of a domain) send heartbeats, to a few domains in turn. A box therefore
+//! tracks all members of its own domain and a few contacts in each other domain, for any fleet
+//! size.
 //!
-//! The platform's list only seeds the table. Leaving wins over live until a newer incarnation.
+//! The platform's list only seeds the table. A leaving box stays leaving until it has a newer
+//! incarnation.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,95 +16,96 @@
 
 use crate::rendezvous;
 
-/// Time between a box's beats.
-pub const BEAT_EVERY: Duration = Duration::from_secs(1);
-/// Silence after which a box is suspected: two beats lost, and a half for jitter.
-pub const SUSPECT_AFTER: Duration = Duration::from_millis(2_500);
-/// Silence after which a box counts as dead.
-pub const DEAD_AFTER: Duration = Duration::from_secs(6);
-/// Silence after which a dead box is forgotten.
-const FORGET_AFTER: Duration = Duration::from_mins(2);
-/// Silence after which a contact in another domain counts as dead; beats there are rarer.
-const CONTACT_DEAD_AFTER: Duration = Duration::from_secs(45);
-/// Every how many beats the whole record goes along.
-const FULL_EVERY: u64 = 5;
-/// Delegates of a domain.
+/// Time between a box's heartbeats.
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+/// Time without a heartbeat after which a box is suspected. Two heartbeats may be lost.
+pub const SUSPECT_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Time without a heartbeat after which a box counts as dead.
+pub const DEAD_TIMEOUT: Duration = Duration::from_secs(6);
+/// Time without a heartbeat after which a dead box is removed from the table.
+const REMOVE_TIMEOUT: Duration = Duration::from_mins(2);
+/// Time without a heartbeat after which a contact in another domain counts as dead. Heartbeats
+/// between domains are less frequent.
+const CONTACT_DEAD_TIMEOUT: Duration = Duration::from_secs(45);
+/// Number of heartbeats per full heartbeat, which includes the sender's record.
+const FULL_INTERVAL: u64 = 5;
+/// Delegates per domain.
 const DELEGATES: usize = 2;
-/// Contacts remembered in each other domain.
-const CONTACTS_KEPT: usize = 4;
-/// Contacts told about in one full beat.
-const CONTACTS_TOLD: usize = 4;
-/// Other domains that a delegate beats to at each beat.
-const DOMAINS_PER_BEAT: usize = 3;
-
-/// What a box says of itself.
+/// Maximum number of contacts kept per other domain.
+const MAX_CONTACTS: usize = 4;
+/// Maximum number of records relayed in one full heartbeat.
+const MAX_RELAYED: usize = 4;
+/// Other domains that a delegate sends to per heartbeat interval.
+const DOMAINS_PER_HEARTBEAT: usize = 3;
+
+/// A box's record of itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberRecord {
-    /// The box.
+    /// Id of the box.
     pub id: BoxId,
     /// Its failure domain.
     pub domain: DomainId,
-    /// Which life of the box speaks.
+    /// Incarnation of the box that wrote the record.
     pub incarnation: Incarnation,
-    /// Where peers reach it.
+    /// Address at which peers reach it.
     pub address: String,
-    /// Whether it takes no new duties because it is stopping.
+    /// Whether the box is stopping and accepts no new assignments.
     pub leaving: bool,
 }
 
-/// A record heard of at second hand.
+/// A record that another box relayed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RelayedRecord {
     /// The record.
     pub record: MemberRecord,
-    /// How long before the telling the box was last heard, by whoever heard it.
+    /// Time between the box's last heartbeat to the relaying box and the relay.
     pub age: Duration,
 }
 
-/// One beat.
+/// One heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Heartbeat {
     /// The sender.
     pub from: BoxId,
-    /// Which life of the sender.
+    /// Incarnation of the sender.
     pub incarnation: Incarnation,
     /// Whether the sender is leaving.
     pub leaving: bool,
     /// Configuration generation in force at the sender.
     pub generation: Generation,
-    /// The sender's whole record, on full beats.
+    /// The sender's record, in full heartbeats.
     pub record: Option<MemberRecord>,
-    /// Others the sender has heard, on full beats.
+    /// Records of other boxes, in full heartbeats.
     pub relayed: Vec<RelayedRecord>,
 }
 
-/// A beat and where it goes.
+/// A heartbeat and its destination.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OutgoingHeartbeat {
     /// The receiver's address.
     pub to: String,
-    /// The beat.
+    /// The heartbeat.
     pub beat: Heartbeat,
 }
 
-/// What a box is taken to be.
+/// Liveness of a box, as seen by another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Liveness {
-    /// Heard lately.
+    /// Sends heartbeats.
     Live,
-    /// Silent for a while; gets no new duties.
+    /// Has missed several heartbeats; gets no new assignments.
     Suspect,
-    /// Said that it is stopping, or the platform's list said so.
+    /// Stopping, according to the box or to the platform's list.
     Leaving,
-    /// Silent for long.
+    /// Has sent no heartbeat for a long time.
     Dead,
 }
 
 #[derive(Debug, Clone)]
 struct Entry {
     record: MemberRecord,
-    heard_at: Moment,
-    /// Whether this box has sent it a full beat; without one it does not know this box.
+    last_seen: Moment,
+    /// Whether this box has sent it a full heartbeat. Until then it may not have this box's record.
     introduced: bool,
 }
 
@@ -111,63 +114,64 @@
 pub struct MemberTable {
     me: MemberRecord,
     entries: BTreeMap<BoxId, Entry>,
-    beats: u64,
+    /// Number of rounds of heartbeats sent.
+    rounds: u64,
     next_heartbeat_at: Moment,
 }
 
 impl MemberTable {
-    /// A table that knows only the box itself.
+    /// Creates a table that contains only the box itself.
     pub const fn new(me: MemberRecord) -> Self {
-        Self { me, entries: BTreeMap::new(), beats: 0, next_heartbeat_at: Moment::START }
+        Self { me, entries: BTreeMap::new(), rounds: 0, next_heartbeat_at: Moment::START }
     }
 
-    /// The box's own record.
+    /// Returns the box's own record.
     pub const fn me(&self) -> &MemberRecord {
         &self.me
     }
 
-    /// Marks the box itself as leaving; the next beat goes out at once.
+    /// Marks the box itself as leaving; the next heartbeat is due immediately.
     pub const fn leave(&mut self) {
         self.me.leaving = true;
         self.next_heartbeat_at = Moment::START;
-        // A full beat, so that boxes which missed the record learn it too.
-        self.beats = 0;
+        // Sends a full heartbeat, for boxes that do not have the record yet.
+        self.rounds = 0;
     }
 
-    /// When the next beats are due.
+    /// Returns when the next heartbeats are due.
     pub const fn next_heartbeat_at(&self) -> Moment {
         self.next_heartbeat_at
     }
 
-    /// Takes a beat from a peer.
-    pub fn receive_heartbeat(&mut self, now: Moment, beat: Heartbeat) {
-        for told in beat.relayed {
-            self.merge_relayed(now, told);
+    /// Applies a heartbeat from a peer.
+    pub fn receive_heartbeat(&mut self, now: Moment, heartbeat: Heartbeat) {
+        for relayed in heartbeat.relayed {
+            self.merge_relayed(now, relayed);
         }
-        if let Some(record) = beat.record {
+        if let Some(record) = heartbeat.record {
             self.merge(now, record);
         }
-        let Some(entry) = self.entries.get_mut(&beat.from) else {
+        let Some(entry) = self.entries.get_mut(&heartbeat.from) else {
             return;
         };
-        if beat.incarnation < entry.record.incarnation {
+        if heartbeat.incarnation < entry.record.incarnation {
             return;
         }
-        if beat.incarnation > entry.record.incarnation {
-            entry.record.incarnation = beat.incarnation;
+        if heartbeat.incarnation > entry.record.incarnation {
+            entry.record.incarnation = heartbeat.incarnation;
             entry.record.leaving = false;
             entry.introduced = false;
         }
-        entry.record.leaving |= beat.leaving;
-        entry.heard_at = entry.heard_at.max(now);
+        entry.record.leaving |= heartbeat.leaving;
+        entry.last_seen = entry.last_seen.max(now);
     }
 
-    /// Takes a record from the platform's list or from a peer's telling.
-    pub fn merge_relayed(&mut self, now: Moment, told: RelayedRecord) {
-        self.merge(now - told.age, told.record);
+    /// Merges a record from the platform's list or relayed by a peer.
+    pub fn merge_relayed(&mut self, now: Moment, relayed: RelayedRecord) {
+        self.merge(now - relayed.age, relayed.record);
     }
 
-    /// What `id` is taken to be; `None` when it was never heard of.
+    /// Returns the liveness of `id`, or `None` if it is not in the table.
     pub fn liveness(&self, now: Moment, id: &BoxId) -> Option<Liveness> {
         if *id == self.me.id {
             return Some(if self.me.leaving { Liveness::Leaving } else { Liveness::Live });
@@ -175,7 +179,7 @@
         self.entries.get(id).map(|entry| self.entry_liveness(now, entry))
     }
 
-    /// The boxes of `domain` that may be given duties, this box included.
+    /// Returns the live boxes of `domain`, including this box.
     pub fn live_in(&self, now: Moment, domain: &DomainId) -> Vec<&MemberRecord> {
         let others = self
             .entries
@@ -187,29 +191,29 @@
         me.into_iter().chain(others).collect()
     }
 
-    /// The box of `domain` that `key` belongs to.
+    /// Returns the live box of `domain` that `key` belongs to.
     pub fn owner_in(&self, now: Moment, domain: &DomainId, key: &str) -> Option<&MemberRecord> {
         let live = self.live_in(now, domain);
         let owner = rendezvous::owner(key, live.iter().map(|record| &record.id))?;
         live.iter().find(|record| record.id == *owner).copied()
     }
 
-    /// The boxes of this domain ranked highest for `duty`, this box included.
-    pub fn ranked_in_own_domain(&self, now: Moment, duty: &str, count: usize) -> Vec<BoxId> {
+    /// Returns the `count` live boxes of this domain ranked highest for `key`, including this box.
+    pub fn ranked_in_own_domain(&self, now: Moment, key: &str, count: usize) -> Vec<BoxId> {
         let live = self.live_in(now, &self.me.domain);
         let ids = live.iter().map(|record| &record.id);
-        rendezvous::ranked(duty, ids, count).into_iter().cloned().collect()
+        rendezvous::ranked(key, ids, count).into_iter().cloned().collect()
     }
 
-    /// All boxes known, with what they are taken to be; this box first.
+    /// Returns all boxes in the table with their liveness, this box first.
     pub fn all(&self, now: Moment) -> Vec<(&MemberRecord, Liveness)> {
-        let mine = if self.me.leaving { Liveness::Leaving } else { Liveness::Live };
+        let own = if self.me.leaving { Liveness::Leaving } else { Liveness::Live };
         let others =
             self.entries.values().map(|entry| (&entry.record, self.entry_liveness(now, entry)));
-        std::iter::once((&self.me, mine)).chain(others).collect()
+        std::iter::once((&self.me, own)).chain(others).collect()
     }
 
-    /// Failure domains known, with this one.
+    /// Returns all failure domains in the table, including this box's, sorted.
     pub fn domains(&self) -> Vec<DomainId> {
         let mut all: Vec<DomainId> =
             self.entries.values().map(|entry| entry.record.domain.clone()).collect();
@@ -219,63 +223,63 @@
         all
     }
 
-    /// The beats due at `now`.
+    /// Returns the heartbeats due at `now`.
     pub fn poll(&mut self, now: Moment, generation: Generation) -> Vec<OutgoingHeartbeat> {
         if now < self.next_heartbeat_at {
             return Vec::new();
         }
-        self.next_heartbeat_at = now + BEAT_EVERY;
-        let full = self.beats.is_multiple_of(FULL_EVERY);
+        self.next_heartbeat_at = now + HEARTBEAT_INTERVAL;
+        let full = self.rounds.is_multiple_of(FULL_INTERVAL);
         let mut out: Vec<OutgoingHeartbeat> = self
-            .neighbours()
+            .domain_peers()
             .map(|entry| OutgoingHeartbeat {
                 to: entry.record.address.clone(),
-                beat: self.beat(now, generation, full || !entry.introduced),
+                beat: self.heartbeat(now, generation, full || !entry.introduced),
             })
             .collect();
         for entry in self.entries.values_mut() {
             entry.introduced |= entry.record.domain == self.me.domain;
         }
-        out.extend(self.delegate_beats(now, generation));
-        self.beats += 1;
-        self.entries.retain(|_, entry| now.since(entry.heard_at) < FORGET_AFTER);
+        out.extend(self.delegate_heartbeats(now, generation));
+        self.rounds += 1;
+        self.entries.retain(|_, entry| now.since(entry.last_seen) < REMOVE_TIMEOUT);
         out
     }
 
-    fn neighbours(&self) -> impl Iterator<Item = &Entry> {
+    fn domain_peers(&self) -> impl Iterator<Item = &Entry> {
         self.entries.values().filter(|entry| entry.record.domain == self.me.domain)
     }
 
-    fn beat(&self, now: Moment, generation: Generation, full: bool) -> Heartbeat {
+    fn heartbeat(&self, now: Moment, generation: Generation, full: bool) -> Heartbeat {
         Heartbeat {
             from: self.me.id.clone(),
             incarnation: self.me.incarnation,
             leaving: self.me.leaving,
             generation,
             record: full.then(|| self.me.clone()),
-            relayed: if full { self.contacts_to_tell(now) } else { Vec::new() },
+            relayed: if full { self.records_to_relay(now) } else { Vec::new() },
         }
     }
 
-    /// A few contacts in turn, so that all are told over a few full beats.
-    fn contacts_to_tell(&self, now: Moment) -> Vec<RelayedRecord> {
+    /// Selects the records to relay in rotation, so that a few full heartbeats cover all of them.
+    fn records_to_relay(&self, now: Moment) -> Vec<RelayedRecord> {
         let all: Vec<&Entry> = self
             .entries
             .values()
             .filter(|entry| self.entry_liveness(now, entry) != Liveness::Dead)
             .collect();
-        let turn = usize::try_from(self.beats / FULL_EVERY).unwrap_or(0);
-        let start = turn.wrapping_mul(CONTACTS_TOLD);
-        (0..CONTACTS_TOLD.min(all.len()))
+        let turn = usize::try_from(self.rounds / FULL_INTERVAL).unwrap_or(0);
+        let start = turn.wrapping_mul(MAX_RELAYED);
+        (0..MAX_RELAYED.min(all.len()))
             .map(|offset| all[start.wrapping_add(offset) % all.len()])
             .map(|entry| RelayedRecord {
                 record: entry.record.clone(),
-                age: now.since(entry.heard_at),
+                age: now.since(entry.last_seen),
             })
             .collect()
     }
 
-    fn delegate_beats(&self, now: Moment, generation: Generation) -> Vec<OutgoingHeartbeat> {
+    fn delegate_heartbeats(&self, now: Moment, generation: Generation) -> Vec<OutgoingHeartbeat> {
         let delegates = self.ranked_in_own_domain(now, self.me.domain.as_str(), DELEGATES);
         if !delegates.contains(&self.me.id) && !self.me.leaving {
             return Vec::new();
@@ -285,13 +289,14 @@
         if others.is_empty() {
             return Vec::new();
         }
-        let turn = usize::try_from(self.beats).unwrap_or(0);
-        (0..DOMAINS_PER_BEAT.min(others.len()))
+        let turn = usize::try_from(self.rounds).unwrap_or(0);
+        (0..DOMAINS_PER_HEARTBEAT.min(others.len()))
             .map(|offset| {
-                &others[turn.wrapping_mul(DOMAINS_PER_BEAT).wrapping_add(offset) % others.len()]
+                &others
+                    [turn.wrapping_mul(DOMAINS_PER_HEARTBEAT).wrapping_add(offset) % others.len()]
             })
             .filter_map(|domain| self.contact_in(domain, turn))
-            .map(|to| OutgoingHeartbeat { to, beat: self.beat(now, generation, true) })
+            .map(|to| OutgoingHeartbeat { to, beat: self.heartbeat(now, generation, true) })
             .collect()
     }
 
@@ -302,61 +307,61 @@
         Some(chosen.record.address.clone())
     }
 
-    fn merge(&mut self, heard_at: Moment, record: MemberRecord) {
+    fn merge(&mut self, last_seen: Moment, record: MemberRecord) {
         if record.id == self.me.id {
             return;
         }
         let foreign = record.domain != self.me.domain;
         if let Some(entry) = self.entries.get_mut(&record.id) {
-            merge_entry(entry, heard_at, record);
+            merge_entry(entry, last_seen, record);
             return;
         }
         let domain = record.domain.clone();
-        self.entries.insert(record.id.clone(), Entry { record, heard_at, introduced: false });
+        self.entries.insert(record.id.clone(), Entry { record, last_seen, introduced: false });
         if foreign {
-            self.drop_spare_contacts(&domain);
+            self.drop_surplus_contact(&domain);
         }
     }
 
-    /// Keeps the contacts of another domain bounded, dropping the one heard longest ago.
-    fn drop_spare_contacts(&mut self, domain: &DomainId) {
+    /// Removes the least recently seen contact of another domain if there are too many.
+    fn drop_surplus_contact(&mut self, domain: &DomainId) {
         let contacts = || self.entries.values().filter(|entry| entry.record.domain == *domain);
-        if contacts().count() <= CONTACTS_KEPT {
+        if contacts().count() <= MAX_CONTACTS {
             return;
         }
-        let oldest = contacts().min_by_key(|entry| entry.heard_at).map(|e| e.record.id.clone());
+        let oldest = contacts().min_by_key(|entry| entry.last_seen).map(|e| e.record.id.clone());
         if let Some(id) = oldest {
             self.entries.remove(&id);
         }
     }
 
     fn entry_liveness(&self, now: Moment, entry: &Entry) -> Liveness {
-        let silence = now.since(entry.heard_at);
-        let near = entry.record.domain == self.me.domain;
-        let dead_after = if near { DEAD_AFTER } else { CONTACT_DEAD_AFTER };
-        if silence >= dead_after {
+        let elapsed = now.since(entry.last_seen);
+        let same_domain = entry.record.domain == self.me.domain;
+        let dead_timeout = if same_domain { DEAD_TIMEOUT } else { CONTACT_DEAD_TIMEOUT };
+        if elapsed >= dead_timeout {
             return Liveness::Dead;
         }
         if entry.record.leaving {
             return Liveness::Leaving;
         }
-        if near && silence >= SUSPECT_AFTER {
+        if same_domain && elapsed >= SUSPECT_TIMEOUT {
             return Liveness::Suspect;
         }
         Liveness::Live
     }
 }
 
-fn merge_entry(entry: &mut Entry, heard_at: Moment, record: MemberRecord) {
+fn merge_entry(entry: &mut Entry, last_seen: Moment, record: MemberRecord) {
     if record.incarnation < entry.record.incarnation {
         return;
     }
     if record.incarnation > entry.record.incarnation {
-        // A new life knows nobody yet.
+        // A new incarnation has an empty table.
         entry.introduced = false;
         entry.record = record;
     } else {
         entry.record.leaving |= record.leaving;
     }
-    entry.heard_at = entry.heard_at.max(heard_at);
+    entry.last_seen = entry.last_seen.max(last_seen);
 }
--- a/crates/coord/src/rendezvous.rs
+++ b/crates/coord/src/rendezvous.rs
@@ -1,6 +1,7 @@
-//! Rendezvous (highest random weight) hashing: boxes that see the same members choose alike.
+//! Rendezvous (highest random weight) hashing.
 //!
-//! When one member goes, only the keys it held move; no ring or table is kept.
+//! Boxes with the same list of members make the same choice. When a member leaves, only its keys
+//! move. No state is kept.
 
 use std::cmp::Reverse;
 
@@ -12,7 +13,7 @@
     xxh3_64_with_seed(member.as_str().as_bytes(), seed)
 }
 
-/// The member that `key` belongs to, or `None` when there are no members.
+/// Returns the member that `key` belongs to, or `None` if there are no members.
 ///
 /// ```
 /// use coord::rendezvous::owner;
@@ -20,7 +21,7 @@
 ///
 /// let boxes: Vec<BoxId> = vec!["box-1".parse()?, "box-2".parse()?, "box-3".parse()?];
 /// let home = owner("engine-7", &boxes).cloned();
-/// // Whatever the order in which a box lists its peers, it chooses alike.
+/// // The choice does not depend on the order of the members.
 /// assert_eq!(owner("engine-7", boxes.iter().rev()).cloned(), home);
 /// # Ok::<(), ids::IdError>(())
 /// ```
@@ -28,7 +29,7 @@
     members.into_iter().max_by_key(|member| (weight(key, member), Reverse(*member)))
 }
 
-/// The `count` members ranked highest for `key`, best first.
+/// Returns the `count` members ranked highest for `key`, best first.
 pub fn ranked<'a>(
     key: &str,
     members: impl IntoIterator<Item = &'a BoxId>,
--- a/crates/coord/src/retry.rs
+++ b/crates/coord/src/retry.rs
@@ -1,19 +1,19 @@
 //! Retry budgets and jittered backoff.
 //!
-//! A budget ties retries to first attempts, so that a failing target meets at most a fixed
-//! share of extra load, whatever the number of callers. Randomness is passed in.
+//! A budget limits retries to a fixed fraction of first attempts, which bounds the extra load on a
+//! failing target for any number of callers. Randomness is passed in.
 
 use std::time::Duration;
 
-/// Thousandths of a retry that one token is worth.
-const MILLI: u64 = 1_000;
+/// Cost of one retry, in thousandths.
+const RETRY_COST: u64 = 1_000;
 
-/// Retries allowed as a share of first attempts, with a small float for quiet times.
+/// A token bucket that limits retries to a fraction of first attempts.
 ///
 /// ```
 /// use coord::retry::RetryBudget;
 ///
-/// // A tenth of a retry for each attempt, two held for quiet times.
+/// // Earns 0.1 retries per attempt and holds at most two.
 /// let mut budget = RetryBudget::new(100, 2);
 /// assert!(budget.try_retry() && budget.try_retry());
 /// assert!(!budget.try_retry());
@@ -25,29 +25,30 @@
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     earned_per_attempt: u64,
-    float: u64,
+    capacity: u64,
     balance: u64,
 }
 
 impl RetryBudget {
-    /// A budget that earns `thousandths` of a retry per first attempt and holds at most
-    /// `float` retries.
-    pub const fn new(thousandths: u64, float: u64) -> Self {
-        let float = float * MILLI;
-        Self { earned_per_attempt: thousandths, float, balance: float }
+    /// Creates a full budget that earns `thousandths` of a retry per first attempt and holds at
+    /// most `capacity` retries.
+    pub const fn new(thousandths: u64, capacity: u64) -> Self {
+        let capacity = capacity * RETRY_COST;
+        Self { earned_per_attempt: thousandths, capacity, balance: capacity }
     }
 
-    /// Notes a first attempt.
+    /// Records a first attempt.
     pub fn record_attempt(&mut self) {
-        self.balance = (self.balance + self.earned_per_attempt).min(self.float);
+        self.balance = (self.balance + self.earned_per_attempt).min(self.capacity);
     }
 
-    /// Takes one retry; `false` when the budget is spent and the error must go back as it is.
+    /// Spends one retry. Returns `false` if the budget is exhausted and the error must be returned
+    /// to the caller.
     pub fn try_retry(&mut self) -> bool {
-        if self.balance < MILLI {
+        if self.balance < RETRY_COST {
             return false;
         }
-        self.balance -= MILLI;
+        self.balance -= RETRY_COST;
         true
     }
 }
@@ -55,20 +56,21 @@
 /// Exponential backoff with full jitter.
 #[derive(Debug, Clone, Copy)]
 pub struct Backoff {
-    first: Duration,
-    most: Duration,
+    initial: Duration,
+    max: Duration,
 }
 
 impl Backoff {
-    /// Delays up to `first` at the start, doubling up to `most`.
-    pub const fn new(first: Duration, most: Duration) -> Self {
-        Self { first, most }
+    /// Creates a backoff whose upper bound starts at `initial` and doubles up to `max`.
+    pub const fn new(initial: Duration, max: Duration) -> Self {
+        Self { initial, max }
     }
 
-    /// Delay before retry number `retry` (from zero); `random` is uniform over all of `u32`.
+    /// Returns the delay before retry number `retry`, counted from zero. `random` is uniform over
+    /// all of `u32`.
     pub fn delay(&self, retry: u32, random: u32) -> Duration {
-        let doubled = self.first.saturating_mul(1_u32.checked_shl(retry).unwrap_or(u32::MAX));
-        let ceiling = doubled.min(self.most);
+        let doubled = self.initial.saturating_mul(1_u32.checked_shl(retry).unwrap_or(u32::MAX));
+        let ceiling = doubled.min(self.max);
         ceiling.mul_f64(f64::from(random) / f64::from(u32::MAX))
     }
 }
--- a/crates/coord/tests/lease_property.rs
+++ b/crates/coord/tests/lease_property.rs
@@ -1,4 +1,4 @@
-//! Leases under delays, lost answers, outages and pauses: never two holders at once.
+//! Leases under delays, lost responses, outages and pauses: never two holders at the same time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,9 +13,9 @@
 const TERM: Duration = Duration::from_secs(1);
 const CLAIMS: usize = 3;
 
-/// An answer on its way to a claim.
+/// A store response in flight to a claim.
 #[derive(Debug)]
-enum Answer {
+enum StoreResponse {
     Read(ReadOutcome),
     Write(WriteOutcome),
 }
@@ -41,37 +41,37 @@
 
 struct Claimant {
     claim: LeaseClaim,
-    /// Frozen until then: it neither polls nor takes answers.
-    frozen_until: Moment,
-    answer: Option<(Moment, Answer)>,
+    /// Until then the box is paused: it neither polls nor receives responses.
+    paused_until: Moment,
+    response: Option<(Moment, StoreResponse)>,
 }
 
 fn claimant(index: usize) -> Claimant {
-    let me: BoxId = format!("box-{index}").parse().expect("an id");
+    let me: BoxId = format!("box-{index}").parse().expect("valid id");
     let claim = LeaseClaim::new(me, Incarnation::new(1), String::new(), TERM);
-    Claimant { claim, frozen_until: Moment::START, answer: None }
+    Claimant { claim, paused_until: Moment::START, response: None }
 }
 
-/// One store call, which may lose its answer or meet an outage.
-fn call(u: &mut Unstructured<'_>, store: &mut Store, action: LeaseAction) -> Drawn<Answer> {
-    // Chance that has run out draws zeros, so zero means that nothing goes wrong.
-    let luck = u.int_in_range(0..=19_u8)?;
+/// Performs one store call, which may fail or lose its response.
+fn call(u: &mut Unstructured<'_>, store: &mut Store, action: LeaseAction) -> Drawn<StoreResponse> {
+    // Exhausted input yields zeros, so zero must mean success.
+    let draw = u.int_in_range(0..=19_u8)?;
     Ok(match action {
-        LeaseAction::Read if luck >= 18 => Answer::Read(ReadOutcome::NoAnswer),
-        LeaseAction::Read => {
-            Answer::Read(store.object.clone().map_or(ReadOutcome::Absent, ReadOutcome::Found))
-        }
-        LeaseAction::Write { .. } if luck == 19 => Answer::Write(WriteOutcome::NotApplied),
-        LeaseAction::Write { .. } if luck == 18 => Answer::Write(WriteOutcome::Unknown),
+        LeaseAction::Read if draw >= 18 => StoreResponse::Read(ReadOutcome::NoAnswer),
+        LeaseAction::Read => StoreResponse::Read(
+            store.object.clone().map_or(ReadOutcome::Absent, ReadOutcome::Found),
+        ),
+        LeaseAction::Write { .. } if draw == 19 => StoreResponse::Write(WriteOutcome::NotApplied),
+        LeaseAction::Write { .. } if draw == 18 => StoreResponse::Write(WriteOutcome::Unknown),
         LeaseAction::Write { expect, record } => {
             let outcome = store.write(expect, record);
-            // The write took effect, and its answer is lost.
-            Answer::Write(if luck == 17 { WriteOutcome::Unknown } else { outcome })
+            // The write was applied, but its response is lost.
+            StoreResponse::Write(if draw == 17 { WriteOutcome::Unknown } else { outcome })
         }
     })
 }
 
-fn session(u: &mut Unstructured<'_>) -> Drawn<u32> {
+fn run_scenario(u: &mut Unstructured<'_>) -> Drawn<u32> {
     let mut store = Store::default();
     let mut claims: Vec<Claimant> = (0..CLAIMS).map(claimant).collect();
     let mut tokens: BTreeMap<FencingToken, usize> = BTreeMap::new();
@@ -79,38 +79,38 @@
     for tick in 0..1_500_u64 {
         let now = Moment::START + Duration::from_millis(tick * 10);
         let index = usize::try_from(tick).unwrap_or(0) % CLAIMS;
-        let one = &mut claims[index];
-        if now >= one.frozen_until {
+        let claimant = &mut claims[index];
+        if now >= claimant.paused_until {
             if !u.ratio(149, 150)? {
-                one.frozen_until = now + Duration::from_millis(u.int_in_range(50..=3_000)?);
+                claimant.paused_until = now + Duration::from_millis(u.int_in_range(50..=3_000)?);
             }
-            if let Some((due, _)) = &one.answer
+            if let Some((due, _)) = &claimant.response
                 && *due <= now
-                && let Some((_, answer)) = one.answer.take()
+                && let Some((_, response)) = claimant.response.take()
             {
-                match answer {
-                    Answer::Read(outcome) => one.claim.read_done(now, outcome),
-                    Answer::Write(outcome) => one.claim.write_done(now, outcome),
+                match response {
+                    StoreResponse::Read(outcome) => claimant.claim.read_done(now, outcome),
+                    StoreResponse::Write(outcome) => claimant.claim.write_done(now, outcome),
                 }
             }
-            if one.answer.is_none()
-                && let Some(action) = one.claim.poll(now)
+            if claimant.response.is_none()
+                && let Some(action) = claimant.claim.poll(now)
             {
-                let answer = call(u, &mut store, action)?;
+                let response = call(u, &mut store, action)?;
                 let delay = Duration::from_millis(u.int_in_range(1..=120)?);
-                one.answer = Some((now + delay, answer));
+                claimant.response = Some((now + delay, response));
             }
         }
         let holders: Vec<(usize, FencingToken)> = claims
             .iter()
             .enumerate()
-            .filter_map(|(index, one)| Some((index, one.claim.held(now)?)))
+            .filter_map(|(index, claimant)| Some((index, claimant.claim.held(now)?)))
             .collect();
         assert!(holders.len() <= 1, "two holders at {now}: {holders:?}");
         for (index, token) in holders {
             held_rounds += 1;
             let owner = *tokens.entry(token).or_insert(index);
-            assert_eq!(owner, index, "token {token} held by two at {now}");
+            assert_eq!(owner, index, "token {token} held by two claims at {now}");
             let newest = tokens.keys().next_back().copied();
             assert_eq!(newest, Some(token), "an older token held at {now}");
         }
@@ -119,11 +119,11 @@
 }
 
 #[test]
-fn never_two_holders_and_tokens_only_grow() {
+fn never_two_holders_and_tokens_only_increase() {
     for seed in 0..150_u64 {
         arbtest(|u| {
-            let held = session(u)?;
-            assert!(held > 300, "the lease was held in {held} of 1500 rounds only");
+            let held = run_scenario(u)?;
+            assert!(held > 300, "the lease was held in only {held} of 1500 rounds");
             Ok(())
         })
         .seed(seed.wrapping_mul(0x9e37_79b9) << 32 | 65_536);
@@ -152,14 +152,14 @@
 }
 
 #[test]
-fn a_token_seen_in_use_is_never_taken_again() {
+fn an_observed_token_is_never_reused() {
     let (claim, store) = claim_with(7);
     assert_eq!(claim.held(Moment::START), Some(FencingToken::new(7)));
     assert_eq!(store.object.map(|object| object.record.token), Some(FencingToken::new(7)));
 }
 
 #[test]
-fn a_lost_answer_is_resolved_by_reading_back() {
+fn a_lost_response_is_resolved_by_reading_back() {
     let mut store = Store::default();
     let mut claim = claimant(0).claim;
     claim.poll(Moment::START);
@@ -174,23 +174,23 @@
     assert_eq!(claim.poll(later), Some(LeaseAction::Read));
     let found = store.object.clone().map_or(ReadOutcome::Absent, ReadOutcome::Found);
     claim.read_done(later, found);
-    // Counted from before the write was sent, not from the reading.
+    // The term starts before the write was sent, not at the read.
     assert!(claim.held(later).is_some());
     assert!(claim.held(Moment::START + TERM * 4 / 5).is_none());
 }
 
 #[test]
-fn a_released_lease_is_taken_at_once() {
+fn a_released_lease_is_acquired_immediately() {
     let (mut holder, mut store) = claim_with(1);
     let now = Moment::START + Duration::from_millis(10);
     let Some(LeaseAction::Write { expect, record }) = holder.release(now) else {
         panic!("no release");
     };
     store.write(expect, record);
-    let mut taker = claimant(1).claim;
-    taker.poll(now);
+    let mut successor = claimant(1).claim;
+    successor.poll(now);
     let found = store.object.clone().map_or(ReadOutcome::Absent, ReadOutcome::Found);
-    taker.read_done(now, found);
-    let Some(LeaseAction::Write { record, .. }) = taker.poll(now) else { panic!("not taken") };
+    successor.read_done(now, found);
+    let Some(LeaseAction::Write { record, .. }) = successor.poll(now) else { panic!("no write") };
     assert_eq!(record.token, FencingToken::new(2));
 }
--- a/crates/gannetwayd/src/documents.rs
+++ b/crates/gannetwayd/src/documents.rs
@@ -163,8 +163,8 @@
 
     async fn handle(&mut self, msg: PlatformAnswered, _: &mut Context<Self, ()>) {
         match msg.0 {
-            ObjectKind::Config => self.config.platform_answered(),
-            _ => self.targets.platform_answered(),
+            ObjectKind::Config => self.config.platform_responded(),
+            _ => self.targets.platform_responded(),
         }
         self.publish();
     }
