--- a/crates/keeping/src/keeper.rs
+++ b/crates/keeping/src/keeper.rs
@@ -1,6 +1,6 @@
 //! The keeper's state machine.
 
-mod reign;
+mod acting;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,30 +17,30 @@
 use pools::PoolSpec;
 use rand::Rng;
 
-use crate::messages::EndHint;
+use crate::messages::OutcomeHint;
 use crate::{AttemptOutcome, KeeperAction, KeeperRefusal, KeptState, Placement};
 
-/// Most steps open at once for one trainer: the one it trains on, the next, and one to spare.
-const MOST_STEPS: usize = 3;
-/// Bytes of samples that may wait for their trainer. A trainer that does not pull must not
-/// fill its keeper's memory; what runs already may go a little over.
-const MOST_WAITING_BYTES: usize = 32 << 20;
-/// Pause before targets are tried again when none could be chosen and none is known to rest.
-const STARVED_RETRY: Duration = Duration::from_millis(100);
-/// How long a sample of a version that is not named waits for it: a configuration is in force
-/// everywhere within this time, so a version still not named by then never was.
-const AHEAD_PATIENCE: Duration = Duration::from_secs(11);
-
-/// Who keeps, and for whom.
+/// Maximum number of open steps per trainer.
+const MAX_STEPS: usize = 3;
+/// Limit for samples that wait for their trainer, in bytes, which bounds the memory used for a
+/// trainer that does not pull. Attempts in flight may exceed it slightly.
+const MAX_WAITING_BYTES: usize = 32 << 20;
+/// Maximum delay before target selection is retried after it found no target.
+const STARVED_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Time that a sample of a version not yet named waits for it. A configuration reaches all boxes
+/// within this time, so the version is invalid if it is still not named.
+const AHEAD_TIMEOUT: Duration = Duration::from_secs(11);
+
+/// Identity of a keeper and its trainer.
 #[derive(Debug, Clone)]
 pub struct KeeperSettings {
     /// This box.
     pub me: BoxId,
-    /// Which life of it.
+    /// Incarnation of this box.
     pub incarnation: Incarnation,
-    /// Where peers reach it.
+    /// Address at which peers reach this box.
     pub address: String,
-    /// The lease's term.
+    /// Term of the lease.
     pub term: Duration,
     /// The pool.
     pub pool: PoolName,
@@ -48,22 +48,22 @@
     pub trainer: TrainerId,
 }
 
-/// A run of questions without an answer, each within a term of the one before.
+/// A sequence of refused requests, each less than a term after the previous one.
 #[derive(Debug, Clone, Copy)]
-struct VainAsks {
+struct RefusedRequests {
     since: Moment,
     last: Moment,
 }
 
-/// Keeps one trainer's steps.
+/// State machine that keeps one trainer's steps.
 #[derive(Debug)]
 pub struct StepKeeper<R, C = TargetChooser> {
     settings: KeeperSettings,
     rng: R,
     claim: LeaseClaim,
     acting: Option<FencingToken>,
-    /// Highest token the trainer has shown.
-    seen: FencingToken,
+    /// Highest token received from the trainer or a previous keeper.
+    highest_seen: FencingToken,
     pool: Option<PoolSpec>,
     generation: Generation,
     steps: BTreeMap<StepNumber, StepLedger>,
@@ -71,29 +71,35 @@
     chooser: C,
     in_flight: u32,
     started_at: Moment,
-    platform_heard: Option<Moment>,
-    /// Trainers' questions that could not be answered here.
-    vain: Option<VainAsks>,
+    /// Time of the last response of the platform.
+    platform_seen_at: Option<Moment>,
+    /// Recent requests of the trainer that were refused because this box does not act.
+    refused: Option<RefusedRequests>,
     handing_over: bool,
-    /// Whether a planned stop has freed the lease; it is not claimed again.
+    /// Whether the lease was released in a planned stop; it is not claimed again.
     released: bool,
-    /// Since when this keeper has had no step.
+    /// Start of the time without open steps.
     empty_since: Option<Moment>,
     starved_until: Option<Moment>,
-    /// Since when samples have waited for a version that is not named.
+    /// Start of the time with samples that wait for a version not yet named.
     ahead_since: Option<Moment>,
 }
 
 impl<R: Rng> StepKeeper<R> {
-    /// A keeper that begins to claim its lease.
+    /// Creates a keeper that starts to claim its lease.
     pub fn new(now: Moment, settings: KeeperSettings, rng: R) -> Self {
-        Self::with_choice(now, settings, rng, TargetChooser::default())
+        Self::with_placement_policy(now, settings, rng, TargetChooser::default())
     }
 }
 
 impl<R: Rng, C: PlacementPolicy> StepKeeper<R, C> {
-    /// A keeper that begins to claim its lease, with its own way to choose targets.
-    pub fn with_choice(now: Moment, settings: KeeperSettings, rng: R, chooser: C) -> Self {
+    /// Creates a keeper that starts to claim its lease and uses `chooser` to select targets.
+    pub fn with_placement_policy(
+        now: Moment,
+        settings: KeeperSettings,
+        rng: R,
+        chooser: C,
+    ) -> Self {
         let claim = LeaseClaim::new(
             settings.me.clone(),
             settings.incarnation,
@@ -105,7 +111,7 @@
             rng,
             claim,
             acting: None,
-            seen: FencingToken::default(),
+            highest_seen: FencingToken::default(),
             pool: None,
             generation: Generation::default(),
             steps: BTreeMap::new(),
@@ -113,8 +119,8 @@
             chooser,
             in_flight: 0,
             started_at: now,
-            platform_heard: None,
-            vain: None,
+            platform_seen_at: None,
+            refused: None,
             handing_over: false,
             released: false,
             empty_since: None,
@@ -123,32 +129,32 @@
         }
     }
 
-    /// The token it acts under; `None` while it does not keep.
+    /// Returns the token under which it acts, or `None` while it does not act as the keeper.
     pub const fn acting_token(&self) -> Option<FencingToken> {
         self.acting
     }
 
-    /// Open steps.
+    /// Returns the open steps.
     pub fn open_steps(&self) -> impl Iterator<Item = StepNumber> {
         self.steps.keys().copied()
     }
 
-    /// Attempts under way.
+    /// Returns the number of attempts in flight.
     pub const fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Bytes of samples that wait for the trainer.
+    /// Returns the size of the samples that wait for the trainer, in bytes.
     pub fn waiting_bytes(&self) -> usize {
         self.steps.values().map(StepLedger::waiting_bytes).sum()
     }
 
-    /// Versions that samples of a step may now be made of.
+    /// Returns the versions currently accepted for samples of a step.
     pub fn window(&self, step: StepNumber) -> Option<VersionWindow> {
         self.steps.get(&step).map(StepLedger::window)
     }
 
-    /// Takes the pool's configuration; `None` when the pool is gone.
+    /// Applies the pool's configuration; `None` if the pool no longer exists.
     pub fn pool_changed(&mut self, generation: Generation, pool: Option<PoolSpec>) {
         if generation < self.generation {
             return;
@@ -160,7 +166,7 @@
         self.pool = pool;
         self.starved_until = None;
         let Some(rule) = self.rule() else { return };
-        // The pool's version is the named one as soon as its configuration is in force.
+        // A new configuration names its version for all open steps.
         for ledger in self.steps.values_mut() {
             ledger.set_pool_rule(rule);
         }
@@ -172,7 +178,7 @@
         Some(PoolRule { generation: self.generation, version, bound })
     }
 
-    /// Opens a step, or opens it again.
+    /// Opens a step, or reopens it if it is already open.
     pub fn open(
         &mut self,
         now: Moment,
@@ -180,10 +186,10 @@
         held: &SlotSet,
         seen: FencingToken,
     ) -> Result<KeptState, KeeperRefusal> {
-        let token = self.act(now, seen)?;
+        let token = self.require_acting(now, seen)?;
         let trainer = &self.settings.trainer;
-        let known = self.pool.as_ref().is_some_and(|pool| pool.trainers.contains(trainer));
-        let Some(rule) = self.rule().filter(|_| known) else {
+        let listed = self.pool.as_ref().is_some_and(|pool| pool.trainers.contains(trainer));
+        let Some(rule) = self.rule().filter(|_| listed) else {
             return Err(KeeperRefusal::NotInPool {
                 pool: self.settings.pool.clone(),
                 trainer: trainer.clone(),
@@ -198,9 +204,9 @@
             Some(snapshot) => StepLedger::resume(snapshot, token, rule)?,
             None => StepLedger::open(spec, token, rule)?,
         };
-        // A pull of nothing notes what the trainer holds.
+        // A pull without samples records the slots that the trainer holds.
         ledger.pull(&Pull { held: held.clone(), seen, most: 0 })?;
-        if self.steps.len() >= MOST_STEPS {
+        if self.steps.len() >= MAX_STEPS {
             return Err(KeeperRefusal::TooManySteps { open: self.steps.len() });
         }
         self.steps.insert(step, ledger);
@@ -208,21 +214,21 @@
         self.state(step)
     }
 
-    /// Answers a pull.
+    /// Returns the next samples of a step and its state.
     pub fn pull(
         &mut self,
         now: Moment,
         step: StepNumber,
         pull: &Pull,
     ) -> Result<(PulledBatch, KeptState), KeeperRefusal> {
-        self.act(now, pull.seen)?;
+        self.require_acting(now, pull.seen)?;
         let ledger = self.ledger(step)?;
-        let out = ledger.pull(pull)?;
+        let batch = ledger.pull(pull)?;
         let state = self.state(step)?;
-        Ok((out, state))
+        Ok((batch, state))
     }
 
-    /// Names a newer version for a step.
+    /// Sets a newer version for a step.
     pub fn advance(
         &mut self,
         now: Moment,
@@ -230,24 +236,24 @@
         version: ModelVersion,
         seen: FencingToken,
     ) -> Result<KeptState, KeeperRefusal> {
-        self.act(now, seen)?;
+        self.require_acting(now, seen)?;
         self.ledger(step)?.set_trainer_version(version);
         self.state(step)
     }
 
-    /// Closes a step; closing one that is not open is no error.
+    /// Closes a step. Closing a step that is not open succeeds.
     pub fn close(
         &mut self,
         now: Moment,
         step: StepNumber,
         seen: FencingToken,
     ) -> Result<(), KeeperRefusal> {
-        self.act(now, seen)?;
+        self.require_acting(now, seen)?;
         self.steps.remove(&step);
         Ok(())
     }
 
-    /// A step's state.
+    /// Returns the state of a step.
     pub fn state(&self, step: StepNumber) -> Result<KeptState, KeeperRefusal> {
         let ledger = self.steps.get(&step).ok_or(KeeperRefusal::NotOpen { step })?;
         let window = ledger.window();
@@ -259,13 +265,13 @@
         })
     }
 
-    /// Takes the end of an attempt, with what the target's home said along with it.
+    /// Records the outcome of an attempt and the hint of the target's home.
     pub fn attempt_ended(
         &mut self,
         now: Moment,
         placement: &Placement,
-        end: AttemptOutcome,
-        hint: EndHint,
+        outcome: AttemptOutcome,
+        hint: OutcomeHint,
     ) -> Option<Settled> {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.starved_until = None;
@@ -274,10 +280,10 @@
         if let Some(hint) = hint {
             self.chooser.hinted(now, target, &hint);
         }
-        self.note_target(now, target, &end);
+        self.record_target_outcome(now, target, &outcome);
         let ledger = self.steps.get_mut(&placement.step)?;
         let (slot, attempt) = (placement.assignment.slot, placement.assignment.attempt);
-        match end {
+        match outcome {
             AttemptOutcome::Completed(sample) => return Some(ledger.finished(attempt, sample)),
             AttemptOutcome::NotRun { .. } => ledger.failed(slot, attempt, false),
             AttemptOutcome::Unusable | AttemptOutcome::TooOld => ledger.failed(slot, attempt, true),
@@ -285,52 +291,52 @@
         None
     }
 
-    /// Takes the answer to a lease read.
+    /// Applies the outcome of a lease read.
     pub fn lease_read(&mut self, now: Moment, outcome: ReadOutcome) {
         if outcome != ReadOutcome::NoAnswer {
-            self.platform_heard = Some(now);
+            self.platform_seen_at = Some(now);
         }
         self.claim.read_done(now, outcome);
         self.follow_claim(now);
     }
 
-    /// Takes the outcome of a lease write.
+    /// Applies the outcome of a lease write.
     pub fn lease_written(&mut self, now: Moment, outcome: WriteOutcome) {
         if matches!(outcome, WriteOutcome::Applied(_) | WriteOutcome::Conflict) {
-            self.platform_heard = Some(now);
+            self.platform_seen_at = Some(now);
         }
         self.claim.write_done(now, outcome);
         self.follow_claim(now);
     }
 
-    /// The actions due at `now`.
+    /// Returns the actions due at `now`.
     pub fn poll(&mut self, now: Moment) -> Vec<KeeperAction> {
         self.follow_claim(now);
-        self.maybe_detach(now);
-        self.maybe_force(now);
-        self.give_up_ahead(now);
-        let lease = self.free_empty(now).or_else(|| self.poll_claim(now));
+        self.act_without_lease(now);
+        self.force_lease(now);
+        self.expire_ahead(now);
+        let lease = self.release_if_empty(now).or_else(|| self.poll_claim(now));
         let mut actions: Vec<KeeperAction> = lease.map(KeeperAction::Lease).into_iter().collect();
         self.place_work(now, &mut actions);
         actions
     }
 
-    /// When [`Self::poll`] next has something to do, if nothing else happens first.
+    /// Returns when [`Self::poll`] next has an action, without further events.
     pub fn next_at(&self, now: Moment) -> Moment {
-        let lease = if self.rests(now) { Moment::NEVER } else { self.claim.next_at() };
+        let lease = if self.is_claim_idle(now) { Moment::NEVER } else { self.claim.next_at() };
         let work = self.starved_until.filter(|_| self.acting.is_some());
-        let ahead = self.ahead_since.map(|since| since + AHEAD_PATIENCE);
+        let ahead = self.ahead_since.map(|since| since + AHEAD_TIMEOUT);
         let soonest = [work, ahead].into_iter().flatten().fold(lease, Moment::min);
         soonest.max(now)
     }
 
-    /// Begins a planned stop: no new work is placed.
+    /// Starts a planned stop: no new attempts are started.
     pub const fn prepare_hand_over(&mut self) {
         self.handing_over = true;
     }
 
-    /// Ends a planned stop: gives the open steps for a successor, and the lease action that
-    /// frees the lease for it.
+    /// Completes a planned stop. Returns the open steps for the next keeper, and the action that
+    /// releases the lease.
     pub fn hand_over(&mut self, now: Moment) -> (Vec<StepSnapshot>, Option<LeaseAction>) {
         let snapshots = self.steps.values().map(StepLedger::snapshot).collect();
         self.steps.clear();
@@ -339,10 +345,10 @@
         (snapshots, self.claim.release(now))
     }
 
-    /// Takes a predecessor's steps; they are resumed once this box holds the lease.
+    /// Adopts the steps of the previous keeper; they are resumed once this box holds the lease.
     pub fn adopt(&mut self, now: Moment, snapshots: Vec<StepSnapshot>, token: FencingToken) {
-        self.seen = self.seen.max(token);
-        self.claim.observe_token(now, self.seen);
+        self.highest_seen = self.highest_seen.max(token);
+        self.claim.observe_token(now, self.highest_seen);
         self.claim.expedite(now);
         self.adopted = snapshots;
         self.follow_claim(now);
@@ -352,10 +358,14 @@
         self.steps.get_mut(&step).ok_or(KeeperRefusal::NotOpen { step })
     }
 
-    /// The token to act under, unless the trainer has seen a higher one.
-    fn act(&mut self, now: Moment, seen: FencingToken) -> Result<FencingToken, KeeperRefusal> {
-        self.seen = self.seen.max(seen);
-        self.claim.observe_token(now, self.seen);
+    /// Returns the token under which this box acts, unless the trainer has seen a higher one.
+    fn require_acting(
+        &mut self,
+        now: Moment,
+        seen: FencingToken,
+    ) -> Result<FencingToken, KeeperRefusal> {
+        self.highest_seen = self.highest_seen.max(seen);
+        self.claim.observe_token(now, self.highest_seen);
         match self.acting {
             Some(token) if seen > token => {
                 self.step_down();
@@ -363,7 +373,7 @@
             }
             Some(token) => Ok(token),
             None => {
-                self.note_vain(now);
+                self.record_refused(now);
                 Err(self.not_keeping())
             }
         }
@@ -381,21 +391,21 @@
 
     fn take_adopted(&mut self, spec: &StepSpec) -> Result<Option<StepSnapshot>, LedgerError> {
         let found = self.adopted.iter().position(|snapshot| snapshot.spec.step == spec.step);
-        let Some(at) = found else { return Ok(None) };
-        if self.adopted[at].spec.digest() != spec.digest() {
+        let Some(index) = found else { return Ok(None) };
+        if self.adopted[index].spec.digest() != spec.digest() {
             return Err(LedgerError::OtherBody { step: spec.step });
         }
-        Ok(Some(self.adopted.remove(at)))
+        Ok(Some(self.adopted.remove(index)))
     }
 
-    /// Samples of a version that is not named wait for its configuration, but not for ever.
-    fn give_up_ahead(&mut self, now: Moment) {
+    /// Discards samples that have waited too long for a version not yet named.
+    fn expire_ahead(&mut self, now: Moment) {
         if !self.steps.values().any(StepLedger::has_ahead) {
             self.ahead_since = None;
             return;
         }
         let since = *self.ahead_since.get_or_insert(now);
-        if now.since(since) >= AHEAD_PATIENCE {
+        if now.since(since) >= AHEAD_TIMEOUT {
             self.steps.values_mut().for_each(StepLedger::discard_ahead);
             self.ahead_since = None;
         }
@@ -404,7 +414,7 @@
     fn place_work(&mut self, now: Moment, actions: &mut Vec<KeeperAction>) {
         let starved = self.starved_until.is_some_and(|until| now < until);
         let Some(pool) = &self.pool else { return };
-        let full = self.waiting_bytes() >= MOST_WAITING_BYTES;
+        let full = self.waiting_bytes() >= MAX_WAITING_BYTES;
         if self.acting.is_none() || self.handing_over || starved || full {
             return;
         }
@@ -414,9 +424,9 @@
                 let window = Some(ledger.window());
                 let chosen = self.chooser.choose(now, &pool.engines, window, &mut self.rng);
                 let Some(target) = chosen.cloned() else {
-                    let rest_end = self.chooser.next_backoff_end(now);
-                    let retry = now + STARVED_RETRY;
-                    self.starved_until = Some(rest_end.map_or(retry, |end| end.min(retry)));
+                    let backoff_end = self.chooser.next_backoff_end(now);
+                    let retry = now + STARVED_RETRY_DELAY;
+                    self.starved_until = Some(backoff_end.map_or(retry, |end| end.min(retry)));
                     return;
                 };
                 let Some(assignment) = ledger.assign() else {
@@ -429,8 +439,8 @@
         }
     }
 
-    fn note_target(&mut self, now: Moment, target: &TargetId, end: &AttemptOutcome) {
-        match end {
+    fn record_target_outcome(&mut self, now: Moment, target: &TargetId, outcome: &AttemptOutcome) {
+        match outcome {
             AttemptOutcome::Completed(_) | AttemptOutcome::TooOld => self.chooser.succeeded(target),
             AttemptOutcome::Unusable => self.chooser.failed(now, target),
             AttemptOutcome::NotRun { reason: NotRun::Unreachable, .. } => {
--- a/crates/keeping/src/lib.rs
+++ b/crates/keeping/src/lib.rs
@@ -1,12 +1,13 @@
 //! Keeps one trainer's steps under a lease.
 //!
-//! [`StepKeeper`] joins the lease, the ledgers and the choice of targets into one state
-//! machine. The daemon's keeper actor runs it; so do the golden sessions and the property
-//! tests, under their own clocks and fakes.
+//! [`StepKeeper`] combines the lease, the ledgers and target selection in one state machine. It is
+//! run by the daemon's keeper actor, and by the golden sessions and property tests with simulated
+//! clocks and fakes.
 //!
-//! A keeper whose lease runs out because the platform is away goes on: the trainer arbitrates
-//! by its held slots and by the highest fencing token it has seen, so a second keeper costs
-//! work, never a doubled sample. A keeper stops as soon as it learns of a higher token.
+//! A keeper whose lease expires because the platform is unavailable continues to serve. The trainer
+//! resolves conflicts by its held slots and the highest fencing token it has seen, so a second
+//! keeper may duplicate work but never a sample. A keeper stops as soon as it observes a higher
+//! token.
 
 mod keeper;
 mod messages;
--- a/crates/keeping/src/messages.rs
+++ b/crates/keeping/src/messages.rs
@@ -1,4 +1,4 @@
-//! What goes into a keeper and comes out of it.
+//! Inputs and outputs of a keeper.
 
 use std::time::Duration;
 
@@ -7,81 +7,81 @@
 use ledger::{Assignment, LedgerError, PoolRule, Progress, Sample};
 use placement::{NotRun, TargetHint};
 
-/// Work to be sent to a target's home.
+/// An attempt to send to a target's home.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Placement {
     /// The step.
     pub step: StepNumber,
-    /// The slot to fill, and how.
+    /// The slot to fill and its attempt.
     pub assignment: Assignment,
-    /// The engine chosen.
+    /// The chosen engine.
     pub target: TargetId,
 }
 
-/// What a keeper wants done.
+/// An action to perform for a keeper.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum KeeperAction {
     /// Read or write the lease, then report the outcome.
     Lease(LeaseAction),
-    /// Send the work, then call [`crate::StepKeeper::attempt_ended`].
+    /// Start the attempt, then call [`crate::StepKeeper::attempt_ended`].
     Start(Placement),
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AttemptOutcome {
-    /// A whole, attributed and judged sample.
+    /// A complete, attributed and scored sample.
     Completed(Sample),
-    /// The work did not run; come back to this target after the time stated.
+    /// The work did not run; the target may be tried again after a delay.
     NotRun {
-        /// Why.
+        /// Reason of the refusal.
         reason: NotRun,
-        /// When to come back.
+        /// Delay before the target may be tried again.
         retry_after: Duration,
     },
-    /// The answer broke off or cannot be attributed; the slot is filled anew.
+    /// The response is incomplete or cannot be attributed; the slot is filled again.
     Unusable,
-    /// The trainer's version moved past it while it was made.
+    /// The sample's version became too old while the sample was produced.
     TooOld,
 }
 
-/// A step's state, for its trainer.
+/// The state of a step, as reported to its trainer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KeptState {
     /// The keeper's fencing token.
     pub token: FencingToken,
-    /// The version now named.
+    /// The version currently named.
     pub named: ModelVersion,
     /// The pool's rule in force.
     pub rule: PoolRule,
-    /// Counts of the slots.
+    /// Slot counts.
     pub progress: Progress,
 }
 
-/// Why a keeper refused.
+/// Error of a request to a keeper.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum KeeperRefusal {
-    /// This box does not keep the trainer's steps, or not yet.
-    #[error("this box does not keep the steps of {trainer} in {pool}: ask its keeper")]
+    /// This box is not, or not yet, the keeper of the trainer.
+    #[error("this box is not the keeper of {trainer} in {pool}: send the request to its keeper")]
     NotKeeping {
         /// The pool.
         pool: PoolName,
         /// The trainer.
         trainer: TrainerId,
-        /// Where the keeper is, if known.
+        /// Address of the current keeper, if known.
         holder: Option<String>,
-        /// Whether this box is about to become the keeper.
+        /// Whether this box claims the lease.
         claiming: bool,
     },
-    /// The step is not open here.
+    /// The step is not open at this keeper.
     #[error("step {step} is not open: open it again with the held slots")]
     NotOpen {
         /// The step.
         step: StepNumber,
     },
-    /// The pool is gone or does not name the trainer.
+    /// The pool does not exist or does not list the trainer.
     #[error(
-        "pool {pool} does not name trainer {trainer}: add the trainer to the pool's configuration"
+        "pool {pool} does not list trainer {trainer}: add the trainer to the pool's configuration"
     )]
     NotInPool {
         /// The pool.
@@ -90,15 +90,15 @@
         trainer: TrainerId,
     },
     /// Too many steps are open.
-    #[error("{open} steps are open, the most allowed: close one first")]
+    #[error("{open} steps are open, the maximum: close one first")]
     TooManySteps {
-        /// Steps open.
+        /// Number of open steps.
         open: usize,
     },
-    /// The ledger refused.
+    /// The ledger rejected the request.
     #[error(transparent)]
     Ledger(#[from] LedgerError),
 }
 
-/// What a target's home said along with an attempt's end.
-pub type EndHint = Option<TargetHint>;
+/// State of the target, as reported by its home with the outcome of an attempt.
+pub type OutcomeHint = Option<TargetHint>;
--- a/crates/keeping/tests/keeper.rs
+++ b/crates/keeping/tests/keeper.rs
@@ -1,4 +1,4 @@
-//! Keepers beside the sessions: what a stale question or a lagging box must not do.
+//! Keepers: claiming and releasing the lease, acting without one, and limits.
 
 use std::time::Duration;
 
@@ -21,12 +21,12 @@
 
 fn pool(version: u64) -> PoolSpec {
     PoolSpec {
-        name: "layout".parse().expect("an id"),
+        name: "layout".parse().expect("valid id"),
         version: ModelVersion::new(version),
         staleness_bound: 1,
         favours: PoolObjective::Staleness,
-        trainers: vec!["press-1".parse().expect("an id")],
-        engines: vec!["engine-1".parse().expect("an id")],
+        trainers: vec!["press-1".parse().expect("valid id")],
+        engines: vec!["engine-1".parse().expect("valid id")],
         scorers: Vec::new(),
         limits: PoolLimits { per_engine: 4, per_trainer: 2 },
         swap: SwapPolicy::AllAtOnce,
@@ -35,12 +35,12 @@
 
 fn keeper(me: &str) -> StepKeeper<ChaCha8Rng> {
     let settings = KeeperSettings {
-        me: me.parse().expect("an id"),
+        me: me.parse().expect("valid id"),
         incarnation: Incarnation::new(1),
         address: me.to_owned(),
         term: TERM,
-        pool: "layout".parse().expect("an id"),
-        trainer: "press-1".parse().expect("an id"),
+        pool: "layout".parse().expect("valid id"),
+        trainer: "press-1".parse().expect("valid id"),
     };
     let mut keeper = StepKeeper::new(Moment::START, settings, ChaCha8Rng::seed_from_u64(1));
     keeper.pool_changed(Generation::new(1), Some(pool(1)));
@@ -58,7 +58,7 @@
 
 fn held_by_other(token: u64, version: u64) -> ReadOutcome {
     let record = LeaseRecord {
-        holder: "box-9".parse().expect("an id"),
+        holder: "box-9".parse().expect("valid id"),
         incarnation: Incarnation::new(1),
         token: FencingToken::new(token),
         address: "box-9".to_owned(),
@@ -70,8 +70,8 @@
     ReadOutcome::Found(VersionedLease { version: ObjectVersion::new(version), record })
 }
 
-/// Lets the keeper take a lease that nobody holds.
-fn take_lease(keeper: &mut StepKeeper<ChaCha8Rng>, now: Moment) {
+/// Lets the keeper acquire a free lease.
+fn acquire_lease(keeper: &mut StepKeeper<ChaCha8Rng>, now: Moment) {
     assert_eq!(keeper.poll(now), [KeeperAction::Lease(LeaseAction::Read)]);
     keeper.lease_read(now, ReadOutcome::Absent);
     keeper.poll(now);
@@ -80,11 +80,11 @@
 }
 
 #[test]
-fn one_stale_question_does_not_start_a_second_keeper() {
+fn a_single_stale_request_does_not_start_a_second_keeper() {
     let mut keeper = keeper("box-1");
     keeper.poll(at(0));
     keeper.lease_read(at(0), held_by_other(2, 1));
-    // A question that had waited in a frozen box; then the platform goes away.
+    // A delayed request, after which the platform becomes unavailable.
     keeper.pull(at(1), StepNumber::new(1), &pull(2)).unwrap_err();
     for millis in (100..10_000).step_by(100) {
         for action in keeper.poll(at(millis)) {
@@ -92,12 +92,12 @@
                 keeper.lease_read(at(millis), ReadOutcome::NoAnswer);
             }
         }
-        assert_eq!(keeper.acting_token(), None, "detached at {millis} ms");
+        assert_eq!(keeper.acting_token(), None, "acts without a lease at {millis} ms");
     }
 }
 
 #[test]
-fn a_trainer_that_keeps_asking_is_served_without_the_platform() {
+fn repeated_requests_are_served_while_the_platform_is_unavailable() {
     let mut keeper = keeper("box-1");
     let mut acting = None;
     for millis in (0..10_000).step_by(100) {
@@ -113,10 +113,10 @@
 }
 
 #[test]
-fn a_keeper_goes_on_when_the_platform_is_away_and_stops_for_a_higher_token() {
+fn a_keeper_acts_beyond_its_lease_until_it_observes_a_higher_token() {
     let mut keeper = keeper("box-1");
-    take_lease(&mut keeper, at(0));
-    keeper.open(at(1), spec(1), &SlotSet::default(), FencingToken::default()).expect("open");
+    acquire_lease(&mut keeper, at(0));
+    keeper.open(at(1), spec(1), &SlotSet::default(), FencingToken::default()).expect("step opens");
     for millis in (100..20_000).step_by(100) {
         for action in keeper.poll(at(millis)) {
             if let KeeperAction::Lease(LeaseAction::Write { .. }) = action {
@@ -131,48 +131,48 @@
 }
 
 #[test]
-fn an_older_generation_does_not_take_the_pool_back() {
+fn an_older_generation_does_not_revert_the_pool() {
     let mut keeper = keeper("box-1");
-    take_lease(&mut keeper, at(0));
-    keeper.open(at(1), spec(1), &SlotSet::default(), FencingToken::default()).expect("open");
+    acquire_lease(&mut keeper, at(0));
+    keeper.open(at(1), spec(1), &SlotSet::default(), FencingToken::default()).expect("step opens");
     keeper.pool_changed(Generation::new(3), Some(pool(3)));
     keeper.pool_changed(Generation::new(2), Some(pool(2)));
-    let state = keeper.state(StepNumber::new(1)).expect("it is open");
+    let state = keeper.state(StepNumber::new(1)).expect("step is open");
     assert_eq!(state.named, ModelVersion::new(3));
 }
 
 #[test]
-fn limits_on_a_trainer_hold() {
+fn attempts_in_flight_are_limited_per_trainer() {
     let mut keeper = keeper("box-1");
-    take_lease(&mut keeper, at(0));
-    keeper.open(at(1), spec(1), &SlotSet::default(), FencingToken::default()).expect("open");
+    acquire_lease(&mut keeper, at(0));
+    keeper.open(at(1), spec(1), &SlotSet::default(), FencingToken::default()).expect("step opens");
     let started = keeper.poll(at(2)).into_iter();
     let started = started.filter(|action| matches!(action, KeeperAction::Start(_))).count();
     assert_eq!((started, keeper.in_flight()), (2, 2));
 }
 
 #[test]
-fn steps_opened_without_end_are_refused() {
+fn too_many_open_steps_are_refused() {
     let mut keeper = keeper("box-1");
-    take_lease(&mut keeper, at(0));
+    acquire_lease(&mut keeper, at(0));
     let mut open =
         |step| keeper.open(at(1), spec(step), &SlotSet::default(), FencingToken::default());
     for step in 1..=3 {
-        open(step).expect("open");
+        open(step).expect("step opens");
     }
     assert!(matches!(open(4), Err(KeeperRefusal::TooManySteps { open: 3 })));
     open(2).unwrap();
 }
 
 #[test]
-fn work_stops_while_its_trainer_does_not_pull_and_goes_on_when_it_does() {
+fn no_attempts_start_while_the_trainer_does_not_pull() {
     const SAMPLE_BYTES: usize = 20 << 20;
     let mut keeper = keeper("box-1");
-    take_lease(&mut keeper, at(0));
-    keeper.open(at(1), spec(1), &SlotSet::default(), FencingToken::default()).expect("open");
+    acquire_lease(&mut keeper, at(0));
+    keeper.open(at(1), spec(1), &SlotSet::default(), FencingToken::default()).expect("step opens");
     let mut now = 2;
-    let mut made = 0;
-    let mut work = |keeper: &mut StepKeeper<ChaCha8Rng>, now: &mut u64| loop {
+    let mut completed = 0;
+    let mut run_attempts = |keeper: &mut StepKeeper<ChaCha8Rng>, now: &mut u64| loop {
         let actions = keeper.poll(at(*now));
         *now += 1;
         let started: Vec<Placement> = actions
@@ -183,7 +183,7 @@
             })
             .collect();
         if started.is_empty() {
-            return made;
+            return completed;
         }
         for placement in started {
             let span = VersionSpan { version: ModelVersion::new(1), tokens: TokenCount::new(8) };
@@ -194,20 +194,21 @@
                 score: None,
                 engine: placement.target.clone(),
             };
-            made += 1;
+            completed += 1;
             keeper.attempt_ended(at(*now), &placement, AttemptOutcome::Completed(sample), None);
         }
     };
-    // Two at a time, by the trainer's limit; the third and fourth must wait.
-    assert_eq!(work(&mut keeper, &mut now), 2);
-    let (out, _) = keeper.pull(at(now), StepNumber::new(1), &pull(1)).expect("a pull");
-    let held: SlotSet = out.samples.iter().map(|sample| sample.slot).collect();
+    // The trainer's limit is two attempts; the waiting samples block the third and fourth.
+    assert_eq!(run_attempts(&mut keeper, &mut now), 2);
+    let (batch, _) = keeper.pull(at(now), StepNumber::new(1), &pull(1)).expect("pull succeeds");
+    let held: SlotSet = batch.samples.iter().map(|sample| sample.slot).collect();
     let next = Pull { held, ..pull(1) };
-    keeper.pull(at(now), StepNumber::new(1), &next).expect("a pull");
-    assert_eq!(work(&mut keeper, &mut now), 4);
+    keeper.pull(at(now), StepNumber::new(1), &next).expect("pull succeeds");
+    assert_eq!(run_attempts(&mut keeper, &mut now), 4);
 }
 
-/// Counts the lease calls of a keeper over a stretch of time; reads find `found`.
+/// Counts the reads and writes of a keeper's lease from `from` to `to`, in milliseconds. Reads
+/// return `found`.
 fn lease_calls(
     keeper: &mut StepKeeper<ChaCha8Rng>,
     from: u64,
@@ -235,42 +236,42 @@
 }
 
 #[test]
-fn a_box_that_nobody_asks_any_more_leaves_the_lease_alone() {
+fn a_keeper_without_requests_does_not_access_the_lease() {
     let mut keeper = keeper("box-1");
     let refused = keeper.pull(at(0), StepNumber::new(1), &pull(0));
     assert!(matches!(refused, Err(KeeperRefusal::NotKeeping { .. })));
-    // Another box holds the lease and renews it, so this one never takes it.
+    // Another box holds and renews the lease, so this one does not acquire it.
     for second in 0..5 {
         lease_calls(&mut keeper, second * 1_000, second * 1_000 + 1_000, &held_by_other(2, second));
     }
     let later = lease_calls(&mut keeper, 5_000, 65_000, &held_by_other(2, 9));
     assert_eq!(later, (0, 0), "reads and writes in a minute");
-    // Asked again, it looks again.
-    keeper.pull(at(65_000), StepNumber::new(1), &pull(2)).expect_err("not yet");
+    // The next request makes it read the lease again.
+    keeper.pull(at(65_000), StepNumber::new(1), &pull(2)).expect_err("not the keeper yet");
     let (reads, _) = lease_calls(&mut keeper, 65_000, 65_200, &held_by_other(2, 9));
     assert!(reads > 0);
 }
 
 #[test]
-fn a_keeper_without_steps_frees_its_lease_and_takes_it_again_when_asked() {
+fn a_keeper_without_steps_releases_its_lease_until_the_next_request() {
     let mut keeper = keeper("box-1");
-    take_lease(&mut keeper, at(0));
-    keeper.open(at(1), spec(1), &SlotSet::default(), FencingToken::default()).expect("open");
+    acquire_lease(&mut keeper, at(0));
+    keeper.open(at(1), spec(1), &SlotSet::default(), FencingToken::default()).expect("step opens");
     lease_calls(&mut keeper, 2, 40_000, &ReadOutcome::Absent);
-    assert_eq!(keeper.acting_token(), Some(FencingToken::new(1)), "its step is open");
-    keeper.close(at(40_000), StepNumber::new(1), FencingToken::new(1)).expect("closed");
+    assert_eq!(keeper.acting_token(), Some(FencingToken::new(1)), "a step is open");
+    keeper.close(at(40_000), StepNumber::new(1), FencingToken::new(1)).expect("step closes");
     lease_calls(&mut keeper, 40_000, 80_000, &ReadOutcome::Absent);
     assert_eq!(keeper.acting_token(), None);
-    let rest = lease_calls(&mut keeper, 80_000, 140_000, &ReadOutcome::Absent);
-    assert_eq!(rest, (0, 0), "reads and writes in a minute");
-    keeper.pull(at(140_000), StepNumber::new(2), &pull(1)).expect_err("not yet");
+    let idle = lease_calls(&mut keeper, 80_000, 140_000, &ReadOutcome::Absent);
+    assert_eq!(idle, (0, 0), "reads and writes in a minute");
+    keeper.pull(at(140_000), StepNumber::new(2), &pull(1)).expect_err("not the keeper yet");
     lease_calls(&mut keeper, 140_000, 141_000, &ReadOutcome::Absent);
     assert_eq!(keeper.acting_token(), Some(FencingToken::new(2)));
 }
 
-/// Reads are answered, but each write's answer takes longer than the lease's term.
+/// Guards against a trainer that is never served because lease writes take longer than the term.
 #[test]
-fn a_platform_slower_than_the_term_does_not_keep_the_trainer_waiting() {
+fn a_keeper_acts_without_a_lease_if_the_platform_is_too_slow() {
     let mut keeper = keeper("box-1");
     let mut due: Option<(u64, ObjectVersion)> = None;
     let mut acting = None;
@@ -292,5 +293,5 @@
         }
         acting = acting.or(keeper.acting_token());
     }
-    assert!(acting.is_some(), "nobody keeps the step");
+    assert!(acting.is_some(), "no box keeps the step");
 }
--- a/crates/sessions/src/world/boxes.rs
+++ b/crates/sessions/src/world/boxes.rs
@@ -63,7 +63,7 @@
                 pool: pool.name.clone(),
                 trainer: pool.trainers[0].clone(),
             };
-            let mut keeper = StepKeeper::with_choice(
+            let mut keeper = StepKeeper::with_placement_policy(
                 now,
                 settings,
                 ChaCha8Rng::seed_from_u64(seed),
--- a/crates/xtask/src/mutate.rs
+++ b/crates/xtask/src/mutate.rs
@@ -124,7 +124,7 @@
     Mutation {
         name: "limits: work goes on although its trainer does not pull",
         file: "crates/keeping/src/keeper.rs",
-        from: "let full = self.waiting_bytes() >= MOST_WAITING_BYTES;",
+        from: "let full = self.waiting_bytes() >= MAX_WAITING_BYTES;",
         to: "let full = false;",
         package: "keeping",
         test: "does_not_pull",
