--- a/crates/gannetwayd/src/conductor.rs
+++ b/crates/gannetwayd/src/conductor.rs
@@ -233,11 +233,11 @@
         target: order.target.to_string(),
         version: order.version.get(),
         token: order.token.get(),
-        life_ms: wire_millis(order.life),
+        life_ms: wire_millis(order.ttl),
     });
-    let called = call_home(ctx, &order.target, new_request(body, "", order.life)).await;
+    let called = call_home(ctx, &order.target, new_request(body, "", order.ttl)).await;
     let answer = match called {
-        Ok(stream) => stream.single(order.life + ORDER_SLACK).await,
+        Ok(stream) => stream.single(order.ttl + ORDER_SLACK).await,
         Err(error) => Err(error),
     };
     match answer.map(|item| item.body) {
--- a/crates/sessions/src/world/swaps.rs
+++ b/crates/sessions/src/world/swaps.rs
@@ -36,7 +36,7 @@
     pub(super) fn order(&mut self, now: Moment, order: SwapOrder) {
         self.say(now, format!("{} ordered to load version {}", order.target, order.version));
         let engine = self.engine(&order.target);
-        engine.queue.order_sent(order.version, now + order.life);
+        engine.queue.order_sent(order.version, now + order.ttl);
         if engine.refuse_orders > 0 {
             engine.refuse_orders -= 1;
             self.send(now, Event::OrderEnded(order.target, Some(false)));
--- a/crates/swaps/src/conductor.rs
+++ b/crates/swaps/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! The conductor's state: what each replica was last read to hold, and what is under way.
+//! The rollout coordinator: the version last read from each replica, and the orders in flight.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,72 +6,75 @@
 use ids::{FencingToken, Incarnation, ModelVersion, Moment, TargetId};
 use pools::SwapPolicy;
 
-/// Longest time after sending in which an order may still take effect.
-pub const ORDER_LIFE: Duration = Duration::from_secs(10);
-/// Time between readings of a replica that is not where it should be.
-const READ_EVERY: Duration = Duration::from_millis(500);
-/// Time between readings of a replica that is where it should be.
-const REST_READ_EVERY: Duration = Duration::from_secs(2);
-/// Pause before a refused or failed order is tried again.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Maximum time after sending in which an order may still take effect.
+pub const ORDER_TTL: Duration = Duration::from_secs(10);
+/// Time between reads of a replica that does not have the wanted version.
+const READ_INTERVAL: Duration = Duration::from_millis(500);
+/// Time between reads of a replica that has the wanted version.
+const SETTLED_READ_INTERVAL: Duration = Duration::from_secs(2);
+/// Delay before a refused order is retried.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// An order to one replica.
+/// An order to one replica to load a version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SwapOrder {
     /// The replica.
     pub target: TargetId,
     /// The version to load.
     pub version: ModelVersion,
-    /// The conductor's fencing token.
+    /// The coordinator's fencing token.
     pub token: FencingToken,
-    /// How long the order may still take effect.
-    pub life: Duration,
+    /// Time after sending in which the order may take effect.
+    pub ttl: Duration,
 }
 
-/// What the conductor wants done.
+/// An action to perform for the coordinator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RolloutAction {
     /// Send the order, then call [`RolloutCoordinator::order_completed`].
     Order(SwapOrder),
-    /// Read the replica, then call [`RolloutCoordinator::read`] or [`RolloutCoordinator::read_failed`].
+    /// Read the replica, then call [`RolloutCoordinator::read`] or
+    /// [`RolloutCoordinator::read_failed`].
     Read(TargetId),
 }
 
-/// How far a roll-out is.
+/// Progress of a rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SwapProgress {
-    /// The version wanted.
+    /// The wanted version.
     pub wanted: ModelVersion,
-    /// Replicas of the pool in this domain.
+    /// Number of replicas of the pool in this domain.
     pub replicas: usize,
-    /// Replicas read to hold the version.
+    /// Number of replicas that have the version according to their last read.
     pub done: usize,
-    /// Replicas with an order under way.
+    /// Number of replicas with an order in flight.
     pub in_flight: usize,
-    /// Replicas whose last order ended without a definite answer, or that were never read.
+    /// Number of replicas whose version is unknown: not read since the start or their last order,
+    /// or the last read gave no version.
     pub in_doubt: usize,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ReplicaView {
-    /// Not read since the conductor began or since an order ended indefinitely.
+    /// Not read since the coordinator started or an order completed, or the last read gave no
+    /// version.
     Unknown,
-    Holds(Incarnation, ModelVersion),
-    /// An order is under way.
+    Loaded(Incarnation, ModelVersion),
+    /// An order is in flight.
     Ordered,
 }
 
 #[derive(Debug, Clone)]
 struct Replica {
     view: ReplicaView,
-    /// The version this conductor ordered last; a late effect of that order changes nothing
-    /// once the replica is read to hold it.
+    /// The version that this coordinator ordered last. A late effect of that order changes nothing
+    /// once the replica has the version.
     ordered: Option<ModelVersion>,
-    /// No reading or order before this moment.
+    /// No read or order before this time.
     wait_until: Moment,
     reading: bool,
-    /// A reading that began earlier proves nothing, for an order might still take effect.
-    trust_from: Moment,
+    /// Reads sent earlier are ignored, because an order might still take effect after them.
+    valid_from: Moment,
 }
 
 /// Rolls versions out over one domain's replicas of one pool.
@@ -85,7 +88,7 @@
 }
 
 impl RolloutCoordinator {
-    /// A conductor that begins at `now` under a fresh token.
+    /// Creates a coordinator that starts at `now` under a new token.
     pub const fn new(now: Moment, token: FencingToken) -> Self {
         Self {
             token,
@@ -96,12 +99,13 @@
         }
     }
 
-    /// The conductor's fencing token.
+    /// Returns the coordinator's fencing token.
     pub const fn token(&self) -> FencingToken {
         self.token
     }
 
-    /// Sets what is wanted; replicas no longer in the pool are dropped.
+    /// Sets the wanted version, the policy, and the replicas with whether each checks fencing
+    /// tokens. Replicas no longer in the pool are removed.
     pub fn want(
         &mut self,
         version: ModelVersion,
@@ -109,27 +113,27 @@
         replicas: impl IntoIterator<Item = (TargetId, bool)>,
     ) {
         if version != self.wanted {
-            // What was where it should be no longer is: look at it now, not after its rest.
+            // Settled replicas are now outdated: make their next read or order due immediately.
             for replica in self.replicas.values_mut() {
-                if matches!(replica.view, ReplicaView::Holds(..)) {
+                if matches!(replica.view, ReplicaView::Loaded(..)) {
                     replica.wait_until = Moment::START;
                 }
             }
         }
         self.wanted = version;
         self.policy = policy;
-        let mut kept = BTreeMap::new();
+        let mut wanted_replicas = BTreeMap::new();
         for (id, checks_fencing) in replicas {
             let replica = self.replicas.remove(&id).unwrap_or_else(|| self.unread(checks_fencing));
-            kept.insert(id, replica);
+            wanted_replicas.insert(id, replica);
         }
-        self.replicas = kept;
+        self.replicas = wanted_replicas;
     }
 
-    /// The actions due at `now`.
+    /// Returns the actions due at `now`.
     pub fn poll(&mut self, now: Moment) -> Vec<RolloutAction> {
         let mut actions = Vec::new();
-        let mut free = self.most_under_way().saturating_sub(self.count(ReplicaView::Ordered));
+        let mut free = self.max_in_flight().saturating_sub(self.count(ReplicaView::Ordered));
         let (wanted, token) = (self.wanted, self.token);
         for (id, replica) in &mut self.replicas {
             if replica.reading || now < replica.wait_until {
@@ -137,22 +141,22 @@
             }
             match replica.view {
                 ReplicaView::Ordered => {}
-                ReplicaView::Holds(_, version) if version != wanted => {
+                ReplicaView::Loaded(_, version) if version != wanted => {
                     if free == 0 {
                         continue;
                     }
                     free -= 1;
                     replica.view = ReplicaView::Ordered;
                     replica.ordered = Some(wanted);
-                    replica.trust_from = now + ORDER_LIFE;
+                    replica.valid_from = now + ORDER_TTL;
                     actions.push(RolloutAction::Order(SwapOrder {
                         target: id.clone(),
                         version: wanted,
                         token,
-                        life: ORDER_LIFE,
+                        ttl: ORDER_TTL,
                     }));
                 }
-                ReplicaView::Holds(..) | ReplicaView::Unknown => {
+                ReplicaView::Loaded(..) | ReplicaView::Unknown => {
                     replica.reading = true;
                     actions.push(RolloutAction::Read(id.clone()));
                 }
@@ -161,32 +165,32 @@
         actions
     }
 
-    /// Takes the outcome of an order: `true` when the engine says it holds the version,
-    /// `false` when it refused and nothing changed, `None` without a definite answer.
+    /// Records the outcome of an order: `Some(true)` if the engine reports the version as loaded,
+    /// `Some(false)` if it refused without any change, `None` if the outcome is unknown.
     pub fn order_completed(&mut self, now: Moment, target: &TargetId, outcome: Option<bool>) {
         let Some(replica) = self.replicas.get_mut(target) else {
             return;
         };
-        // Even a "done" is read back: attribution rests on readings, not on orders.
+        // A completed order is read back too, because attribution depends on reads only.
         replica.view = ReplicaView::Unknown;
         match outcome {
             Some(true) => {
-                replica.trust_from = now;
+                replica.valid_from = now;
                 replica.wait_until = now;
             }
             Some(false) => {
-                replica.trust_from = now;
-                replica.wait_until = now + RETRY_AFTER;
+                replica.valid_from = now;
+                replica.wait_until = now + RETRY_DELAY;
             }
-            None => replica.wait_until = now + READ_EVERY,
+            None => replica.wait_until = now + READ_INTERVAL,
         }
     }
 
-    /// Takes a reading whose request was sent at `asked_at`: the engine's life and version;
-    /// the version is `None` while it loads or holds none.
+    /// Records the result of a read that was sent at `sent_at`. `version` is `None` while the engine
+    /// is loading or has no version.
     pub fn read(
         &mut self,
-        asked_at: Moment,
+        sent_at: Moment,
         now: Moment,
         target: &TargetId,
         incarnation: Incarnation,
@@ -197,35 +201,36 @@
             return;
         };
         replica.reading = false;
-        replica.wait_until = now + READ_EVERY;
+        replica.wait_until = now + READ_INTERVAL;
         let Some(version) = version else {
             replica.view = ReplicaView::Unknown;
             return;
         };
-        let new_life = matches!(replica.view, ReplicaView::Holds(life, _) if life < incarnation);
+        let restarted =
+            matches!(replica.view, ReplicaView::Loaded(previous, _) if previous < incarnation);
         let settled = replica.ordered == Some(version);
-        if asked_at < replica.trust_from && !new_life && !settled {
+        if sent_at < replica.valid_from && !restarted && !settled {
             return;
         }
-        replica.view = ReplicaView::Holds(incarnation, version);
-        let rest = if version == wanted { REST_READ_EVERY } else { Duration::ZERO };
-        replica.wait_until = now + rest;
+        replica.view = ReplicaView::Loaded(incarnation, version);
+        let delay = if version == wanted { SETTLED_READ_INTERVAL } else { Duration::ZERO };
+        replica.wait_until = now + delay;
     }
 
-    /// Notes that a reading got no answer.
+    /// Records that a read got no response.
     pub fn read_failed(&mut self, now: Moment, target: &TargetId) {
         let Some(replica) = self.replicas.get_mut(target) else {
             return;
         };
         replica.reading = false;
         replica.view = ReplicaView::Unknown;
-        replica.wait_until = now + READ_EVERY;
+        replica.wait_until = now + READ_INTERVAL;
     }
 
-    /// How far the roll-out is.
+    /// Returns the progress of the rollout.
     pub fn progress(&self) -> SwapProgress {
         let wanted = self.wanted;
-        let done = |replica: &&Replica| matches!(replica.view, ReplicaView::Holds(_, version) if version == wanted);
+        let done = |replica: &&Replica| matches!(replica.view, ReplicaView::Loaded(_, version) if version == wanted);
         SwapProgress {
             wanted,
             replicas: self.replicas.len(),
@@ -236,19 +241,19 @@
     }
 
     fn unread(&self, checks_fencing: bool) -> Replica {
-        // An engine that ignores tokens may still obey the last conductor's order.
+        // An engine that ignores tokens may still execute an order of the previous coordinator.
         let first = self.token.get() <= 1;
-        let quiet = if checks_fencing || first { Duration::ZERO } else { ORDER_LIFE };
+        let delay = if checks_fencing || first { Duration::ZERO } else { ORDER_TTL };
         Replica {
             view: ReplicaView::Unknown,
             ordered: None,
             wait_until: Moment::START,
             reading: false,
-            trust_from: self.started_at + quiet,
+            valid_from: self.started_at + delay,
         }
     }
 
-    fn most_under_way(&self) -> usize {
+    fn max_in_flight(&self) -> usize {
         match self.policy {
             SwapPolicy::Rolling { at_once } => at_once as usize,
             SwapPolicy::AllAtOnce => usize::MAX,
--- a/crates/swaps/src/lib.rs
+++ b/crates/swaps/src/lib.rs
@@ -1,15 +1,14 @@
 //! Rolls a model version out over the replicas of one failure domain.
 //!
-//! [`RolloutCoordinator`] runs on one box for each pool and failure domain, under a lease. It is
-//! rebuilt by reading the engines back, never from memory of what was ordered. Every order
-//! carries the lease's token and a deadline. Engines that ignore tokens are protected by time:
-//! a new conductor waits out the longest life of an order before its first one, then reads
-//! everything back.
+//! [`RolloutCoordinator`] runs on one box per pool and failure domain, under a lease. It rebuilds
+//! its state by reading the engines, never from earlier orders. Every order carries the lease's
+//! token and a deadline. For engines that ignore tokens, a new coordinator waits until all earlier
+//! orders have expired and reads the engines before it sends its first order.
 
-mod conductor;
+mod coordinator;
 mod loads;
 mod shares;
 
-pub use conductor::{ORDER_LIFE, RolloutAction, RolloutCoordinator, SwapOrder, SwapProgress};
+pub use coordinator::{ORDER_TTL, RolloutAction, RolloutCoordinator, SwapOrder, SwapProgress};
 pub use loads::{FollowedEngine, due_loads};
 pub use shares::{EngineRanking, divide_engines, needed_engines};
--- a/crates/swaps/src/loads.rs
+++ b/crates/swaps/src/loads.rs
@@ -1,24 +1,23 @@
-//! Which engines load next.
+//! Selection of the engines that load next.
 //!
-//! Few engines may load at once, so with several trainers on one pool loads are scarce: a version is
-//! named before all engines hold the last one. A step that needs the newest version but one waits
-//! for the engines of its own model only, so the model with the smallest part of engines up to date
-//! goes first. With the most outdated engines of all first, a model could wait for seconds for its first engine
-//! after an outage.
+//! Only a few engines may load at the same time, so with several trainers on one pool a new version
+//! may be named before all engines have the previous one. The model with the smallest fraction of
+//! up-to-date engines goes first, because its steps can use only its own engines. Loading the most
+//! outdated engines of all models first could delay a model's first engine after an outage.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
-/// An engine and the model that it follows.
+/// An engine and the model whose versions it loads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FollowedEngine {
     /// Position of the model among the service's models.
     pub model: usize,
-    /// Versions of the model that the engine is behind the named one.
+    /// Number of versions that the engine is behind the named version.
     pub behind: u64,
-    /// An order is under way there.
+    /// Whether an order to the engine is in flight.
     pub ordered: bool,
-    /// Requests that run there.
+    /// Number of requests running at the engine.
     pub running: u32,
 }
 
@@ -28,7 +27,7 @@
     }
 }
 
-/// Positions of the engines that should load, the best first.
+/// Returns the indices of the engines that should load, in order of priority.
 pub fn due_loads(engines: &[FollowedEngine]) -> Vec<usize> {
     let mut counts: HashMap<usize, (usize, usize)> = HashMap::new();
     for engine in engines {
@@ -36,15 +35,16 @@
         *fresh += usize::from(engine.is_fresh());
         *all += 1;
     }
-    let fresh_part = |model: usize| {
+    let fresh_permille = |model: usize| {
         let (fresh, all) = counts.get(&model).copied().unwrap_or_default();
-        // In thousandths, so that parts compare exactly.
+        // An integer, so that it can be compared exactly.
         fresh * 1_000 / all.max(1)
     };
-    let mut due: Vec<usize> = (0..engines.len()).filter(|at| !engines[*at].is_fresh()).collect();
-    due.sort_by_cached_key(|at| {
-        let engine = &engines[*at];
-        (fresh_part(engine.model), Reverse(engine.behind), engine.running)
+    let mut due: Vec<usize> =
+        (0..engines.len()).filter(|index| !engines[*index].is_fresh()).collect();
+    due.sort_by_cached_key(|index| {
+        let engine = &engines[*index];
+        (fresh_permille(engine.model), Reverse(engine.behind), engine.running)
     });
     due
 }
--- a/crates/swaps/src/shares.rs
+++ b/crates/swaps/src/shares.rs
@@ -1,91 +1,94 @@
-//! Which engine follows the versions of which model.
+//! Assignment of engines to models.
 //!
-//! An engine that holds several models would have to load each version of each of them, and while
-//! it loads the runs of that model stand still. So where several models share engines, each engine
-//! follows the versions of one: as many engines a model as its share of the work, but no more than its work
-//! needs. Each load is an order, a refusal or two of the work that comes meanwhile, and a change of the target's
-//! entry that every box hears of; engines that no model needs keep the version that they have.
+//! An engine that serves several models would have to load every version of each of them, and
+//! requests of a model stall while it loads. Where several models share engines, each engine
+//! therefore follows the versions of one model. A model gets engines in proportion to its work, but
+//! no more than it needs, because each load causes refusals and an update to every box. Engines
+//! that no model needs keep their version.
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Engines for each one that the open items of a model would fill: a part of them loads at any time, a failure
-/// domain of them may be lost, and items come in steps.
+/// Engines assigned per engine that the open items of a model would fill. Allows for engines that
+/// are loading, the loss of a failure domain, and bursts of items.
 const ENGINES_PER_FULL: f64 = 4.0;
-/// Engines that follow a model without any work: the next step finds them up to date.
-const LEAST_ENGINES: usize = 12;
+/// Minimum number of engines that a model needs, so that a new step finds up-to-date engines.
+const MIN_ENGINES: usize = 12;
 
-/// Divides `engines` among models by the work of each: at least one engine a model where there are
-/// enough, the rest by shares. Models without any work are treated alike.
+/// Divides `engines` among models and returns the number for each model.
+///
+/// Each model gets at least one engine if there are enough, and the others in proportion to its
+/// work. If no model has work, the engines are divided equally.
 pub fn divide_engines(engines: usize, work: &[f64]) -> Vec<usize> {
     if work.is_empty() {
         return Vec::new();
     }
-    let least = usize::from(engines >= work.len());
-    let mut counts = vec![least; work.len()];
-    let left = engines - least * work.len();
-    let (total, models) = (work.iter().sum::<f64>(), as_real(work.len()));
+    let min_count = usize::from(engines >= work.len());
+    let mut counts = vec![min_count; work.len()];
+    let remaining = engines - min_count * work.len();
+    let (total, models) = (work.iter().sum::<f64>(), as_f64(work.len()));
     let share = |work: f64| {
-        let part = if total > 0.0 { work / total } else { 1.0 / models };
-        // Of all engines, less the one that each model has already.
-        (part * as_real(engines) - as_real(least)).max(0.0)
+        let fraction = if total > 0.0 { work / total } else { 1.0 / models };
+        // The share of all engines, minus the engine that each model already has.
+        (fraction * as_f64(engines) - as_f64(min_count)).max(0.0)
     };
     let wanted: Vec<f64> = work.iter().map(|work| share(*work)).collect();
-    for _ in 0..left {
-        let most_short = (0..work.len()).max_by(|a, b| {
-            let short = |at: usize| wanted[at] - as_real(counts[at] - least);
-            short(*a).total_cmp(&short(*b)).then(b.cmp(a))
+    for _ in 0..remaining {
+        let neediest = (0..work.len()).max_by(|a, b| {
+            let deficit = |model: usize| wanted[model] - as_f64(counts[model] - min_count);
+            deficit(*a).total_cmp(&deficit(*b)).then(b.cmp(a))
         });
-        if let Some(at) = most_short {
-            counts[at] += 1;
+        if let Some(model) = neediest {
+            counts[model] += 1;
         }
     }
     counts
 }
 
-/// Engines that a model with so many open items needs, of engines with `slots` places each.
+/// Returns the number of engines that a model with `open_items` needs, with `slots` per engine.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "a float's conversion saturates"
+    reason = "float-to-integer conversion saturates"
 )]
 pub fn needed_engines(open_items: f64, slots: u32) -> usize {
-    let full = open_items / f64::from(slots.max(1));
-    LEAST_ENGINES + (full * ENGINES_PER_FULL).ceil() as usize
+    let filled = open_items / f64::from(slots.max(1));
+    MIN_ENGINES + (filled * ENGINES_PER_FULL).ceil() as usize
 }
 
-/// For each model all engines, in an order of its own that hangs on their names alone.
+/// A ranking of all engines for each model, by a hash of their names.
 ///
-/// So an engine that comes or goes moves hardly any other, also where a whole failure domain goes.
+/// Adding or removing engines, even a full failure domain, reassigns few others.
 #[derive(Debug, Clone, Default)]
 pub struct EngineRanking {
     engines: usize,
-    orders: Vec<Vec<usize>>,
+    rankings: Vec<Vec<usize>>,
 }
 
 impl EngineRanking {
-    /// The orders of `engines` for each of `models`, all by name.
+    /// Ranks `engines` for each of `models`, both given by name.
     pub fn new(engines: &[&str], models: &[&str]) -> Self {
-        let order = |model: &&str| {
+        let ranking = |model: &&str| {
             let seed = xxh3_64(model.as_bytes());
-            let mut order: Vec<usize> = (0..engines.len()).collect();
-            order.sort_by_cached_key(|at| {
-                (xxh3_64_with_seed(engines[*at].as_bytes(), seed), engines[*at])
+            let mut ranking: Vec<usize> = (0..engines.len()).collect();
+            ranking.sort_by_cached_key(|index| {
+                (xxh3_64_with_seed(engines[*index].as_bytes(), seed), engines[*index])
             });
-            order
+            ranking
         };
-        Self { engines: engines.len(), orders: models.iter().map(order).collect() }
+        Self { engines: engines.len(), rankings: models.iter().map(ranking).collect() }
     }
 
-    /// The engines that follow a model, each with the model's position, where each model has so many.
+    /// Assigns `counts[model]` engines to each model. Returns pairs of an engine's index and its
+    /// model's index.
     pub fn followers(&self, counts: &[usize]) -> Vec<(usize, usize)> {
-        let mut taken = vec![false; self.engines];
+        let mut assigned = vec![false; self.engines];
         let mut followers = Vec::with_capacity(counts.iter().sum());
-        for (model, (order, count)) in self.orders.iter().zip(counts).enumerate() {
+        for (model, (ranking, count)) in self.rankings.iter().zip(counts).enumerate() {
             let free: Vec<usize> =
-                order.iter().copied().filter(|at| !taken[*at]).take(*count).collect();
-            for at in free {
-                taken[at] = true;
-                followers.push((at, model));
+                ranking.iter().copied().filter(|index| !assigned[*index]).take(*count).collect();
+            for index in free {
+                assigned[index] = true;
+                followers.push((index, model));
             }
         }
         followers
@@ -93,6 +96,6 @@
 }
 
 #[expect(clippy::cast_precision_loss, reason = "numbers of engines are far below 2^52")]
-fn as_real(count: usize) -> f64 {
+fn as_f64(count: usize) -> f64 {
     count as f64
 }
--- a/crates/swaps/tests/loads.rs
+++ b/crates/swaps/tests/loads.rs
@@ -1,4 +1,4 @@
-//! Which engines load next when several models share them.
+//! Order in which engines load when several models share them.
 
 use swaps::{FollowedEngine, due_loads};
 
@@ -7,27 +7,27 @@
 }
 
 #[test]
-fn the_model_with_the_fewest_engines_up_to_date_goes_first() {
-    // Model 0 has the most outdated engine, model 1 none that is up to date.
+fn the_model_with_the_smallest_fraction_of_fresh_engines_goes_first() {
+    // Model 0 has the most outdated engine; model 1 has no up-to-date engine.
     let engines = [engine(0, 0, 1), engine(0, 5, 1), engine(1, 1, 9), engine(1, 1, 3)];
     assert_eq!(due_loads(&engines), [3, 2, 1]);
 }
 
 #[test]
-fn an_engine_that_is_ordered_counts_as_up_to_date() {
+fn an_engine_with_an_order_counts_as_up_to_date() {
     let ordered = FollowedEngine { ordered: true, ..engine(1, 1, 3) };
     let engines = [engine(0, 1, 0), engine(0, 1, 0), ordered, engine(1, 1, 0)];
     assert_eq!(due_loads(&engines), [0, 1, 3]);
 }
 
 #[test]
-fn of_one_model_the_most_outdated_loads_first_and_then_the_emptiest() {
+fn within_a_model_the_most_outdated_then_least_loaded_goes_first() {
     let engines = [engine(0, 1, 2), engine(0, 2, 7), engine(0, 1, 0), engine(0, 0, 0)];
     assert_eq!(due_loads(&engines), [1, 2, 0]);
 }
 
 #[test]
-fn nothing_is_due_where_all_are_up_to_date() {
+fn nothing_is_due_when_all_engines_are_up_to_date() {
     assert!(due_loads(&[engine(0, 0, 1), engine(1, 0, 1)]).is_empty());
     assert!(due_loads(&[]).is_empty());
 }
--- a/crates/xtask/src/mutate.rs
+++ b/crates/xtask/src/mutate.rs
@@ -407,7 +407,7 @@
         from: "fresh * 1_000 / all.max(1)",
         to: "0 * fresh * all",
         package: "swaps",
-        test: "the_model_with_the_fewest",
+        test: "the_model_with_the_smallest_fraction",
     },
     Mutation {
         name: "platform: texts that lie on disk are not read back",
@@ -716,10 +716,10 @@
     Mutation {
         name: "platform: a model is followed by its share of all engines",
         file: "crates/swaps/src/shares.rs",
-        from: "LEAST_ENGINES + (full * ENGINES_PER_FULL).ceil() as usize",
-        to: "LEAST_ENGINES + (full * ENGINES_PER_FULL * 1e6).ceil() as usize",
+        from: "MIN_ENGINES + (filled * ENGINES_PER_FULL).ceil() as usize",
+        to: "MIN_ENGINES + (filled * ENGINES_PER_FULL * 1e6).ceil() as usize",
         package: "swaps",
-        test: "a_larger_fleet_loads_no_more",
+        test: "a_larger_fleet_needs_no_more_engines",
     },
     Mutation {
         name: "platform: a new life under an old id is taken for the old one",
