--- a/crates/joblog/src/takeover.rs
+++ b/crates/joblog/src/takeover.rs
@@ -104,23 +104,26 @@
 /// Each shard has a different first box, spread evenly over the failure domains. Ranking by hash
 /// alone would let one box start several shards.
 pub fn rank_initial_servers(shard: ShardIndex, boxes: &[StorageBox]) -> Vec<&StorageBox> {
-    let mut firsts: Vec<&StorageBox> = Vec::new();
+    let mut initial_servers: Vec<&StorageBox> = Vec::new();
     let mut ranked = Vec::new();
     for number in 0..=shard.get() {
         ranked = ranked_boxes(&ShardIndex::new(number).to_string(), boxes);
         // Prefers the domain with the fewest first boxes so far.
-        let firsts_in =
-            |copy: &StorageBox| firsts.iter().filter(|first| first.domain == copy.domain).count();
-        let free = |copy: &&StorageBox| firsts.iter().all(|first| first.box_id != copy.box_id);
+        let servers_in_domain = |copy: &StorageBox| {
+            initial_servers.iter().filter(|first| first.domain == copy.domain).count()
+        };
+        let free =
+            |copy: &&StorageBox| initial_servers.iter().all(|first| first.box_id != copy.box_id);
         let candidates = ranked.iter().enumerate().filter(|(_, copy)| free(copy));
-        let Some((index, _)) = candidates.min_by_key(|(index, copy)| (firsts_in(copy), *index))
+        let Some((index, _)) =
+            candidates.min_by_key(|(index, copy)| (servers_in_domain(copy), *index))
         else {
             // More shards than boxes: rank by hash alone.
             continue;
         };
         let first = ranked.remove(index);
         ranked.insert(0, first);
-        firsts.push(first);
+        initial_servers.push(first);
     }
     ranked
 }
--- a/crates/xtask/src/mutate.rs
+++ b/crates/xtask/src/mutate.rs
@@ -508,7 +508,7 @@
     Mutation {
         name: "platform: one box begins several shards",
         file: "crates/joblog/src/takeover.rs",
-        from: "        firsts.push(first);",
+        from: "        initial_servers.push(first);",
         to: "        let _ = first;",
         package: "joblog",
         test: "initial_servers_are_distinct_boxes",
