--- a/crates/gannetwayd/src/coordinator.rs
+++ b/crates/gannetwayd/src/coordinator.rs
@@ -239,11 +239,11 @@
         target: order.target.to_string(),
         version: order.version.get(),
         token: order.token.get(),
-        life_ms: wire_millis(order.life),
+        life_ms: wire_millis(order.ttl),
     });
-    let called = call_home(ctx, &order.target, new_request(body, "", order.life)).await;
+    let called = call_home(ctx, &order.target, new_request(body, "", order.ttl)).await;
     let response = match called {
-        Ok(stream) => stream.single(order.life + ORDER_TIMEOUT_SLACK).await,
+        Ok(stream) => stream.single(order.ttl + ORDER_TIMEOUT_SLACK).await,
         Err(error) => Err(error),
     };
     match response.map(|item| item.body) {
--- a/crates/node/tests/feed.rs
+++ b/crates/node/tests/feed.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn update_contains_changes_since_revision() {
+fn update_contains_changes_after_revision() {
     let mut cache = listed_cache();
     cache.apply_changes(&put("b", 12));
     cache.apply_changes(&removed("a", 14));
