--- a/crates/links/src/error.rs
+++ b/crates/links/src/error.rs
@@ -1,33 +1,33 @@
-//! How a call to a peer failed.
+//! Errors of calls to peers.
 
 use wire::peer::{Refused, RefusedKind};
 
-/// Why a call got no whole answer.
+/// Reason why a call got no complete response.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum CallError {
-    /// No connection: nothing was sent.
-    #[error("the box at {address} cannot be reached, nothing was sent: ask another box")]
+    /// No connection could be used, and nothing was sent.
+    #[error("the box at {address} is unreachable and nothing was sent: try another box")]
     NotSent {
-        /// The box's address.
+        /// Address of the box.
         address: String,
     },
-    /// The request was sent, and the answer broke off: it may have run.
-    #[error("the answer broke off ({why}): the work may have run")]
+    /// The request was sent, but its response is incomplete or invalid; it may have run.
+    #[error("the response is incomplete ({why}): the work may have run")]
     Broken {
-        /// What happened.
+        /// What is wrong with the response.
         why: &'static str,
     },
-    /// The connection under the call closed or fell silent: it may have run. The peer itself may be
-    /// well, and a new connection may reach it.
-    #[error("the connection was lost: the work may have run, ask again if it may be repeated")]
+    /// The connection closed or became unresponsive during the call; the request may have run. The
+    /// peer may still be reachable over a new connection.
+    #[error("the connection was lost: the work may have run; retry only if it may be repeated")]
     LinkLost,
-    /// The peer refused, and says whether the work ran.
+    /// The peer refused the request and reports whether the work ran.
     #[error("{}", .0.message)]
     Refused(Box<Refused>),
 }
 
 impl CallError {
-    /// Whether the work surely did not run.
+    /// Returns whether the work is guaranteed not to have run.
     pub fn definitely_not_run(&self) -> bool {
         match self {
             Self::NotSent { .. } => true,
--- a/crates/links/src/lib.rs
+++ b/crates/links/src/lib.rs
@@ -1,22 +1,22 @@
 //! Connections between boxes.
 //!
-//! One TCP connection carries many calls. [`LinkPool`] opens connections on demand and makes
-//! calls; [`serve_links`] accepts them and hands each request to a [`PeerHandler`]. Both ends
-//! check the deployment's key first, and an answer counts as whole only after its explicit
-//! end has been checked.
+//! Each TCP connection multiplexes many calls. [`LinkPool`] opens connections on demand and makes
+//! calls; [`serve_links`] accepts connections and passes each request to a [`PeerHandler`]. The
+//! accepting side first authenticates its peer with the deployment key. A response is complete
+//! only after its explicit end frame has been verified.
 //!
-//! The pool says whether a failed call was surely not sent ([`CallError::NotSent`]) or may
-//! have run ([`CallError::Broken`]).
+//! A failed call is either guaranteed not to have been sent ([`CallError::NotSent`]) or may have
+//! run ([`CallError::Broken`], [`CallError::LinkLost`]).
 
-mod answer;
 mod error;
+mod liveness;
 mod pool;
-mod pulse;
+mod response;
 mod server;
 mod shard;
 
-pub use answer::{ResponseEnd, ResponseSink, ResponseStream};
 pub use error::CallError;
+pub use liveness::{LinkAction, LinkLiveness};
 pub use pool::{LinkPool, LinkSettings};
-pub use pulse::{LinkPulse, PulseStep};
+pub use response::{ResponseEnd, ResponseSink, ResponseStream};
 pub use server::{PeerHandler, serve_links};
--- a/crates/links/src/pool.rs
+++ b/crates/links/src/pool.rs
@@ -16,33 +16,34 @@
 use wire::peer::{BoxHeartbeat, ChallengeResponse, Frame, Ping, Request};
 use wire::{DeploymentKey, FrameCodec};
 
-use crate::pulse::{LinkPulse, PulseStep};
+use crate::liveness::{LinkAction, LinkLiveness};
 use crate::{CallError, ResponseStream};
 
-/// Frames that wait for the connection's writer.
-const WRITE_QUEUE: usize = 256;
-/// Items of one call that wait for their reader.
-const ANSWER_QUEUE: usize = 256;
-/// Longest time to connect and show the key: three ways there and back between distant domains
-/// take 120 ms. An attempt that began during a cut ends so soon after it, and the next one works.
+/// Maximum number of queued outgoing frames of a connection.
+const WRITE_QUEUE_LEN: usize = 256;
+/// Maximum number of unread frames of one call.
+const RESPONSE_QUEUE_LEN: usize = 256;
+/// Timeout for connecting and authenticating. This takes three round trips, 120 ms between distant
+/// domains. It is short so that an attempt which started during a network cut soon gives way to
+/// the next one.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Longest time for a request to find room behind others to the same peer.
+/// Maximum time that a request waits for room in the write queue of its peer.
 const QUEUE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Who this box is to its peers.
+/// Identity of this box towards its peers.
 #[derive(Debug, Clone)]
 pub struct LinkSettings {
-    /// This box.
+    /// ID of this box.
     pub me: BoxId,
-    /// The deployment's key.
+    /// Key shared by all boxes of the deployment.
     pub key: DeploymentKey,
 }
 
-type Framing = Framed<TcpStream, FrameCodec>;
+type FramedStream = Framed<TcpStream, FrameCodec>;
 type LinkSlot = Arc<AsyncMutex<Option<Link>>>;
 
-/// The calls of one link that wait for answers.
+/// Calls of one link that await responses, by call number.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct OpenCalls(Arc<Mutex<HashMap<u64, mpsc::Sender<Frame>>>>);
 
@@ -63,7 +64,7 @@
         lock(&self.0).is_empty()
     }
 
-    /// Dropping the senders tells every waiting call that its answer broke off.
+    /// Drops all senders, so that every waiting call fails with [`CallError::LinkLost`].
     fn fail_all(&self) {
         lock(&self.0).clear();
     }
@@ -74,27 +75,27 @@
     frames: mpsc::Sender<Frame>,
     calls: OpenCalls,
     next_call: Arc<AtomicU64>,
-    pulse: Arc<Mutex<LinkPulse>>,
-    /// Told when the link begins to owe a sign of life.
-    owes: Arc<Notify>,
+    liveness: Arc<Mutex<LinkLiveness>>,
+    /// Wakes the link's task when the next liveness action is due earlier.
+    rescheduled: Arc<Notify>,
     closed: CancellationToken,
 }
 
 impl Link {
-    fn asked(&self) {
-        if lock(&self.pulse).asked(Instant::now()) {
-            self.owes.notify_one();
+    fn record_request(&self) {
+        if lock(&self.liveness).request_queued(Instant::now()) {
+            self.rescheduled.notify_one();
         }
     }
 
-    fn told(&self) {
-        if lock(&self.pulse).told(Instant::now()) {
-            self.owes.notify_one();
+    fn record_one_way(&self) {
+        if lock(&self.liveness).one_way_queued(Instant::now()) {
+            self.rescheduled.notify_one();
         }
     }
 }
 
-/// The connections of one box to its peers.
+/// Pool of connections from this box to its peers.
 #[derive(Debug, Clone)]
 pub struct LinkPool {
     settings: Arc<LinkSettings>,
@@ -107,45 +108,49 @@
 }
 
 impl LinkPool {
-    /// A pool without connections; they end when `stop` is cancelled.
+    /// Creates an empty pool. Its connections close when `stop` is cancelled.
     pub fn new(settings: LinkSettings, stop: CancellationToken) -> Self {
         Self { settings: Arc::new(settings), links: Arc::default(), stop }
     }
 
-    /// Sends a request to the box at `address`.
+    /// Sends a request to the box at `address` and returns the stream of its response.
     pub async fn call(&self, address: &str, request: Request) -> Result<ResponseStream, CallError> {
-        let link = self.link(address).await?;
+        let link = self.get_or_connect(address).await?;
         let call = link.next_call.fetch_add(1, Ordering::Relaxed);
-        let (bodies, receiver) = mpsc::channel(ANSWER_QUEUE);
-        link.calls.insert(call, bodies);
+        let (sender, receiver) = mpsc::channel(RESPONSE_QUEUE_LEN);
+        link.calls.insert(call, sender);
         let frame = Frame { call, body: Some(Body::Request(request)) };
-        // A frozen peer reads nothing, and its queue fills up; a frame not queued was not sent.
+        // The queue fills up if the peer reads nothing. A frame that was not queued was not sent.
         let queued = time::timeout(QUEUE_TIMEOUT, link.frames.send(frame)).await;
         if !matches!(queued, Ok(Ok(()))) {
             link.calls.remove(call);
             return Err(not_sent(address));
         }
-        link.asked();
-        // The link may have closed between the insert and now, after it failed all calls.
+        link.record_request();
+        // If the link closed and failed all calls before the insert, nothing else removes this one.
         if link.closed.is_cancelled() {
             link.calls.remove(call);
         }
         Ok(ResponseStream::new(call, receiver, link.frames, link.calls))
     }
 
-    /// Sends a heartbeat; a failure shows as the peer's own silence.
-    pub async fn send_heartbeat(&self, address: &str, beat: BoxHeartbeat) -> Result<(), CallError> {
-        let link = self.link(address).await?;
-        let frame = Frame { call: 0, body: Some(Body::Heartbeat(beat)) };
-        // A beat must not wait behind a stuck connection.
+    /// Queues a heartbeat for the box at `address`. Delivery is not confirmed.
+    pub async fn send_heartbeat(
+        &self,
+        address: &str,
+        heartbeat: BoxHeartbeat,
+    ) -> Result<(), CallError> {
+        let link = self.get_or_connect(address).await?;
+        let frame = Frame { call: 0, body: Some(Body::Heartbeat(heartbeat)) };
+        // Fails instead of waiting for a connection whose peer reads nothing.
         link.frames.try_send(frame).map_err(|_full| not_sent(address))?;
-        link.told();
+        link.record_one_way();
         Ok(())
     }
 
-    async fn link(&self, address: &str) -> Result<Link, CallError> {
+    async fn get_or_connect(&self, address: &str) -> Result<Link, CallError> {
         let slot = Arc::clone(lock(&self.links).entry(address.to_owned()).or_default());
-        // One connect at a time for each peer; others wait for its outcome.
+        // The lock allows one connection attempt per peer; other callers wait for its outcome.
         let mut slot = slot.lock().await;
         if let Some(link) = slot.as_ref()
             && !link.closed.is_cancelled()
@@ -153,42 +158,45 @@
             return Ok(link.clone());
         }
         let connected = time::timeout(CONNECT_TIMEOUT, self.connect(address)).await;
-        let Ok(Some(framing)) = connected else {
+        let Ok(Some(transport)) = connected else {
             *slot = None;
             return Err(not_sent(address));
         };
-        let link = self.start(framing, address);
+        let link = self.spawn_link(transport, address);
         *slot = Some(link.clone());
         Ok(link)
     }
 
-    async fn connect(&self, address: &str) -> Option<Framing> {
+    async fn connect(&self, address: &str) -> Option<FramedStream> {
         let stream = TcpStream::connect(address).await.ok()?;
-        // Small frames such as beats and pulls must not wait for the previous one's ack.
+        // Nagle's algorithm would hold back small frames until earlier ones are acknowledged.
         stream.set_nodelay(true).ok()?;
-        let mut framing = Framed::new(stream, FrameCodec::default());
-        let first = framing.next().await?.ok()?;
-        let Some(Body::Challenge(challenge)) = first.body else {
+        let mut transport = Framed::new(stream, FrameCodec::default());
+        let first_frame = transport.next().await?.ok()?;
+        let Some(Body::Challenge(challenge)) = first_frame.body else {
             return None;
         };
         let me = &self.settings.me;
         let mac = self.settings.key.prove(&challenge.nonce, me);
-        let proof = ChallengeResponse { box_id: me.to_string(), mac };
-        framing.send(Frame { call: 0, body: Some(Body::ChallengeResponse(proof)) }).await.ok()?;
-        Some(framing)
+        let response = ChallengeResponse { box_id: me.to_string(), mac };
+        transport
+            .send(Frame { call: 0, body: Some(Body::ChallengeResponse(response)) })
+            .await
+            .ok()?;
+        Some(transport)
     }
 
-    fn start(&self, framing: Framing, address: &str) -> Link {
-        let (frames, queue) = mpsc::channel(WRITE_QUEUE);
+    fn spawn_link(&self, transport: FramedStream, address: &str) -> Link {
+        let (frames, queue) = mpsc::channel(WRITE_QUEUE_LEN);
         let link = Link {
             frames,
             calls: OpenCalls::default(),
             next_call: Arc::new(AtomicU64::new(1)),
-            pulse: Arc::new(Mutex::new(LinkPulse::new(Instant::now()))),
-            owes: Arc::default(),
+            liveness: Arc::new(Mutex::new(LinkLiveness::new(Instant::now()))),
+            rescheduled: Arc::default(),
             closed: self.stop.child_token(),
         };
-        tokio::spawn(run_link(framing, queue, link.clone(), address.to_owned()));
+        tokio::spawn(run_link(transport, queue, link.clone(), address.to_owned()));
         link
     }
 }
@@ -197,34 +205,39 @@
     CallError::NotSent { address: address.to_owned() }
 }
 
-async fn run_link(framing: Framing, queue: mpsc::Receiver<Frame>, link: Link, address: String) {
-    let (sink, mut stream) = framing.split();
+async fn run_link(
+    transport: FramedStream,
+    queue: mpsc::Receiver<Frame>,
+    link: Link,
+    address: String,
+) {
+    let (sink, mut stream) = transport.split();
     tokio::spawn(write_frames(sink, queue, link.closed.clone()));
     while !link.closed.is_cancelled() {
-        let step = lock(&link.pulse).step(Instant::now());
-        let due = match step {
-            PulseStep::Wait(due) => due,
-            PulseStep::Ping => {
-                // A full queue is a link that takes nothing: it owes the sign of life all the same.
+        let action = lock(&link.liveness).next_action(Instant::now());
+        let due = match action {
+            LinkAction::Wait(due) => due,
+            LinkAction::Ping => {
+                // If the queue is full, the ping is dropped but a received frame is still expected.
                 let _unsent =
                     link.frames.try_send(Frame { call: 0, body: Some(Body::Ping(Ping {})) });
                 continue;
             }
-            PulseStep::Dead => {
+            LinkAction::Dead => {
                 log::info!(target: "links", peer = address.as_str(), outcome = "silent"; "connection closed");
                 break;
             }
-            PulseStep::Rested => break,
+            LinkAction::Idle => break,
         };
         let next = tokio::select! {
             () = link.closed.cancelled() => break,
             () = time::sleep_until(due) => continue,
-            () = link.owes.notified() => continue,
+            () = link.rescheduled.notified() => continue,
             next = stream.next() => next,
         };
         let Some(Ok(frame)) = next else { break };
         deliver(&link.calls, frame).await;
-        lock(&link.pulse).heard(Instant::now(), !link.calls.is_empty());
+        lock(&link.liveness).frame_received(Instant::now(), !link.calls.is_empty());
     }
     link.closed.cancel();
     link.calls.fail_all();
@@ -232,8 +245,8 @@
 
 async fn deliver(calls: &OpenCalls, frame: Frame) {
     let call = frame.call;
-    let last = matches!(frame.body, Some(Body::End(_) | Body::Refused(_)));
-    let sender = if last { calls.remove(call) } else { calls.get(call) };
+    let is_final = matches!(frame.body, Some(Body::End(_) | Body::Refused(_)));
+    let sender = if is_final { calls.remove(call) } else { calls.get(call) };
     let Some(sender) = sender else { return };
     if sender.send(frame).await.is_err() {
         calls.remove(call);
@@ -241,7 +254,7 @@
 }
 
 pub(crate) async fn write_frames(
-    mut sink: futures::stream::SplitSink<Framing, Frame>,
+    mut sink: futures::stream::SplitSink<FramedStream, Frame>,
     mut queue: mpsc::Receiver<Frame>,
     closed: CancellationToken,
 ) {
@@ -251,7 +264,7 @@
             frame = queue.recv() => frame,
         };
         let Some(frame) = frame else { break };
-        // A peer that reads nothing holds the write up; the link may be given up meanwhile.
+        // A peer that reads nothing blocks the write, so closing the link must interrupt it.
         let written = tokio::select! {
             () = closed.cancelled() => break,
             written = write_burst(&mut sink, frame, &mut queue) => written,
@@ -263,9 +276,9 @@
     closed.cancel();
 }
 
-/// Writes all frames at hand before flushing, so that a burst takes few packets.
+/// Writes all queued frames before flushing, so that a burst takes few packets.
 async fn write_burst(
-    sink: &mut futures::stream::SplitSink<Framing, Frame>,
+    sink: &mut futures::stream::SplitSink<FramedStream, Frame>,
     first: Frame,
     queue: &mut mpsc::Receiver<Frame>,
 ) -> Result<(), wire::CodecError> {
--- a/crates/links/src/answer.rs
+++ b/crates/links/src/response.rs
@@ -1,4 +1,4 @@
-//! An answer on its way: the sending and the receiving end.
+//! Streamed responses: the sending and the receiving side.
 
 use std::time::Duration;
 
@@ -12,42 +12,42 @@
 use crate::CallError;
 use crate::pool::OpenCalls;
 
-/// What the end of an answer states beside its tally.
+/// Values stated by the end frame of a response besides its checksum.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ResponseEnd {
-    /// Tokens the engine stated, for engine streams.
+    /// Number of tokens stated by the engine; engine streams only.
     pub tokens: u32,
-    /// Digest of the text that the engine stated, for engine streams.
+    /// Text digest stated by the engine; engine streams only.
     pub text_digest: u64,
 }
 
-/// Sends one answer.
+/// Sends the response of one call.
 #[derive(Debug)]
 pub struct ResponseSink {
     call: u64,
     frames: mpsc::Sender<Frame>,
-    tally: ResponseChecksum,
+    checksum: ResponseChecksum,
 }
 
 impl ResponseSink {
     pub(crate) fn new(call: u64, frames: mpsc::Sender<Frame>) -> Self {
-        Self { call, frames, tally: ResponseChecksum::default() }
+        Self { call, frames, checksum: ResponseChecksum::default() }
     }
 
-    /// Sends an item; `false` when the connection is gone.
+    /// Sends an item. Returns `false` if the connection is closed.
     pub async fn item(&mut self, item: ResponseItem) -> bool {
-        self.tally.count(&item);
+        self.checksum.count(&item);
         self.send(Body::Item(item)).await
     }
 
-    /// Sends the explicit end.
+    /// Sends the end frame, which completes the response.
     pub async fn end(self, end: ResponseEnd) {
-        let tallied = self.tally.end();
-        let end = End { tokens: end.tokens, text_digest: end.text_digest, ..tallied };
+        let totals = self.checksum.end();
+        let end = End { tokens: end.tokens, text_digest: end.text_digest, ..totals };
         self.send(Body::End(end)).await;
     }
 
-    /// Sends a refusal in place of an end.
+    /// Ends the response with a refusal instead of an end frame.
     pub async fn refuse(self, refused: Refused) {
         self.send(Body::Refused(refused)).await;
     }
@@ -57,22 +57,22 @@
     }
 }
 
-/// Items of a local answer that wait for their reader.
-const LOCAL_QUEUE: usize = 64;
+/// Maximum number of unread items of a response within one box.
+const LOCAL_QUEUE_LEN: usize = 64;
 
-/// Where the word goes that the caller went away.
+/// How the serving side learns that the caller dropped the response.
 #[derive(Debug)]
 enum CancelPath {
     Link { call: u64, frames: mpsc::Sender<Frame>, calls: OpenCalls },
     Local(CancellationToken),
 }
 
-/// Receives one answer; dropping it before the end cancels the call.
+/// Receives the response of one call. Dropping it before the end cancels the call.
 #[derive(Debug)]
 pub struct ResponseStream {
-    bodies: mpsc::Receiver<Frame>,
+    incoming: mpsc::Receiver<Frame>,
     cancel: CancelPath,
-    tally: ResponseChecksum,
+    checksum: ResponseChecksum,
     end: Option<ResponseEnd>,
     closed: bool,
 }
@@ -80,73 +80,77 @@
 impl ResponseStream {
     pub(crate) fn new(
         call: u64,
-        bodies: mpsc::Receiver<Frame>,
+        incoming: mpsc::Receiver<Frame>,
         frames: mpsc::Sender<Frame>,
         calls: OpenCalls,
     ) -> Self {
-        Self::with_cancel(bodies, CancelPath::Link { call, frames, calls })
+        Self::with_cancel(incoming, CancelPath::Link { call, frames, calls })
     }
 
-    /// Both ends of an answer within one box; the token ends when the stream is dropped.
+    /// Creates a connected sink and stream within one box. The token is cancelled when the stream
+    /// is dropped before its end.
     pub fn local() -> (ResponseSink, Self, CancellationToken) {
-        let (frames, bodies) = mpsc::channel(LOCAL_QUEUE);
+        let (frames, incoming) = mpsc::channel(LOCAL_QUEUE_LEN);
         let token = CancellationToken::new();
-        let stream = Self::with_cancel(bodies, CancelPath::Local(token.clone()));
+        let stream = Self::with_cancel(incoming, CancelPath::Local(token.clone()));
         (ResponseSink::new(0, frames), stream, token)
     }
 
-    fn with_cancel(bodies: mpsc::Receiver<Frame>, cancel: CancelPath) -> Self {
-        Self { bodies, cancel, tally: ResponseChecksum::default(), end: None, closed: false }
+    fn with_cancel(incoming: mpsc::Receiver<Frame>, cancel: CancelPath) -> Self {
+        Self { incoming, cancel, checksum: ResponseChecksum::default(), end: None, closed: false }
     }
 
-    /// The next item, or `None` after the checked end; `silence` is the longest wait for it.
-    pub async fn next(&mut self, silence: Duration) -> Result<Option<ResponseItem>, CallError> {
+    /// Returns the next item, or `None` after the verified end. `timeout` is the maximum wait for
+    /// one frame.
+    pub async fn next(&mut self, timeout: Duration) -> Result<Option<ResponseItem>, CallError> {
         if self.closed {
             return Ok(None);
         }
-        let body = match time::timeout(silence, self.bodies.recv()).await {
+        let body = match time::timeout(timeout, self.incoming.recv()).await {
             Ok(Some(frame)) => frame.body,
             Ok(None) => {
-                return Err(self.close(CallError::LinkLost));
+                return Err(self.close_with(CallError::LinkLost));
             }
-            Err(_elapsed) => return Err(CallError::Broken { why: "silence" }),
+            Err(_elapsed) => return Err(CallError::Broken { why: "timeout" }),
         };
         match body {
             Some(Body::Item(item)) => {
-                self.tally.count(&item);
+                self.checksum.count(&item);
                 Ok(Some(item))
             }
             Some(Body::End(end)) => {
                 self.closed = true;
-                if self.tally.check(&end).is_err() {
-                    return Err(CallError::Broken { why: "the end does not match the items" });
+                if self.checksum.check(&end).is_err() {
+                    return Err(CallError::Broken { why: "checksum mismatch" });
                 }
                 self.end = Some(ResponseEnd { tokens: end.tokens, text_digest: end.text_digest });
                 Ok(None)
             }
-            Some(Body::Refused(refused)) => Err(self.close(CallError::Refused(Box::new(refused)))),
-            _ => Err(self.close(CallError::Broken { why: "a frame that is no answer" })),
+            Some(Body::Refused(refused)) => {
+                Err(self.close_with(CallError::Refused(Box::new(refused))))
+            }
+            _ => Err(self.close_with(CallError::Broken { why: "unexpected frame kind" })),
         }
     }
 
-    /// What the checked end stated; `None` before it came.
+    /// Returns the values of the verified end frame, or `None` before it arrives.
     pub const fn end(&self) -> Option<ResponseEnd> {
         self.end
     }
 
-    /// The only item of an answer that has exactly one.
-    pub async fn single(mut self, silence: Duration) -> Result<ResponseItem, CallError> {
-        let first = self.next(silence).await?;
+    /// Returns the item of a response that must consist of exactly one.
+    pub async fn single(mut self, timeout: Duration) -> Result<ResponseItem, CallError> {
+        let first = self.next(timeout).await?;
         let Some(item) = first else {
-            return Err(CallError::Broken { why: "an answer without items" });
+            return Err(CallError::Broken { why: "response has no items" });
         };
-        match self.next(silence).await? {
+        match self.next(timeout).await? {
             None => Ok(item),
-            Some(_) => Err(CallError::Broken { why: "an answer with too many items" }),
+            Some(_) => Err(CallError::Broken { why: "response has too many items" }),
         }
     }
 
-    fn close(&mut self, error: CallError) -> CallError {
+    fn close_with(&mut self, error: CallError) -> CallError {
         self.closed = true;
         error
     }
@@ -163,7 +167,8 @@
                 calls.remove(*call);
                 let why = "the caller went away".to_owned();
                 let body = Some(Body::Cancel(Cancel { why }));
-                // A full or closed connection needs no cancel: the peer notices by itself.
+                // Best effort: a closed connection cancels the peer's calls anyway, and the items
+                // of a call that could not be cancelled are discarded.
                 let _unsent = frames.try_send(Frame { call: *call, body });
             }
         }
--- a/crates/links/src/server.rs
+++ b/crates/links/src/server.rs
@@ -1,4 +1,4 @@
-//! Accepts peers and hands their requests to the box.
+//! Accepts connections from peers and dispatches their requests.
 
 use std::collections::HashMap;
 use std::io;
@@ -18,21 +18,22 @@
 use wire::{DeploymentKey, FrameCodec};
 
 use crate::ResponseSink;
+use crate::liveness::{CALLER_IDLE_TIMEOUT, CALLER_TIMEOUT};
 use crate::pool::write_frames;
-use crate::pulse::{CALLER_REST, CALLER_SILENCE};
 
-/// Frames that wait for the connection's writer.
-const WRITE_QUEUE: usize = 256;
-/// Longest time for a peer to show the key.
-const PROOF_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause after a failed accept, such as one for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Bytes of a challenge.
+/// Maximum number of queued outgoing frames of a connection.
+const WRITE_QUEUE_LEN: usize = 256;
+/// Maximum time for a peer to authenticate.
+const AUTH_TIMEOUT: Duration = Duration::from_secs(2);
+/// Delay after a failed accept, for example when no file descriptors are left.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Length of a challenge nonce, in bytes.
 const NONCE_LEN: usize = 16;
 
-/// What a box does with its peers' requests.
+/// Handles the requests of peers.
 pub trait PeerHandler: Clone + Send + Sync + 'static {
-    /// Answers a request; `cancel` ends when the caller goes away.
+    /// Responds to a request through `sink`. `cancel` is cancelled when the caller drops the call
+    /// or its connection closes.
     fn request(
         &self,
         request: Request,
@@ -40,11 +41,11 @@
         cancel: CancellationToken,
     ) -> impl Future<Output = ()> + Send;
 
-    /// Takes a heartbeat.
-    fn handle_heartbeat(&self, beat: BoxHeartbeat) -> impl Future<Output = ()> + Send;
+    /// Processes a heartbeat.
+    fn handle_heartbeat(&self, heartbeat: BoxHeartbeat) -> impl Future<Output = ()> + Send;
 }
 
-/// Accepts connections until `stop` is cancelled.
+/// Accepts connections and serves their requests until `stop` is cancelled.
 pub async fn serve_links(
     listener: TcpListener,
     key: DeploymentKey,
@@ -58,53 +59,54 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                let served = serve_one(stream, key.clone(), handler.clone(), stop.child_token());
+                let served =
+                    serve_connection(stream, key.clone(), handler.clone(), stop.child_token());
                 tokio::spawn(served);
             }
-            Err(error) => pause_after(&error).await,
+            Err(error) => wait_after_accept_error(&error).await,
         }
     }
 }
 
-async fn pause_after(error: &io::Error) {
+async fn wait_after_accept_error(error: &io::Error) {
     log::warn!(target: "links", error:% = error; "accept failed, pausing");
-    time::sleep(ACCEPT_PAUSE).await;
+    time::sleep(ACCEPT_RETRY_DELAY).await;
 }
 
-async fn serve_one(
+async fn serve_connection(
     stream: TcpStream,
     key: DeploymentKey,
     handler: impl PeerHandler,
     closed: CancellationToken,
 ) {
-    // Without it only small frames come later; the connection still works.
-    let _slower = stream.set_nodelay(true);
-    let mut framing = Framed::new(stream, FrameCodec::default());
-    let proven = time::timeout(PROOF_TIMEOUT, prove_peer(&mut framing, &key)).await;
-    let Ok(Some(peer)) = proven else {
-        log::warn!(target: "links", "peer refused: it did not show the deployment key");
+    // An error is ignored: the connection works without it, but small frames are delayed.
+    let _ignored = stream.set_nodelay(true);
+    let mut transport = Framed::new(stream, FrameCodec::default());
+    let authenticated = time::timeout(AUTH_TIMEOUT, authenticate_peer(&mut transport, &key)).await;
+    let Ok(Some(peer)) = authenticated else {
+        log::warn!(target: "links", "peer rejected: authentication with the deployment key failed");
         return;
     };
     log::debug!(target: "links", peer:% = peer; "peer connected");
-    let (sink, mut stream) = framing.split();
-    let (frames, queue) = mpsc::channel(WRITE_QUEUE);
+    let (sink, mut stream) = transport.split();
+    let (frames, queue) = mpsc::channel(WRITE_QUEUE_LEN);
     tokio::spawn(write_frames(sink, queue, closed.clone()));
     let calls = CallTable::default();
-    let mut heard_at = Instant::now();
+    let mut last_received_at = Instant::now();
     loop {
-        let allowed = if calls.is_empty() { CALLER_REST } else { CALLER_SILENCE };
+        let idle_timeout = if calls.is_empty() { CALLER_IDLE_TIMEOUT } else { CALLER_TIMEOUT };
         let next = tokio::select! {
             () = closed.cancelled() => break,
-            next = time::timeout(CALLER_SILENCE, stream.next()) => next,
+            next = time::timeout(CALLER_TIMEOUT, stream.next()) => next,
         };
         let Ok(next) = next else {
-            if heard_at.elapsed() < allowed {
+            if last_received_at.elapsed() < idle_timeout {
                 continue;
             }
             log::info!(target: "links", peer:% = peer, outcome = "silent"; "connection closed");
             break;
         };
-        heard_at = Instant::now();
+        last_received_at = Instant::now();
         let frame = match next {
             Some(Ok(frame)) => frame,
             Some(Err(error)) => {
@@ -120,34 +122,34 @@
             }
             Some(Body::Cancel(_)) => calls.cancel(frame.call),
             Some(Body::Ping(_)) => {
-                // A full queue holds frames that show the life of this link as well.
+                // If the queue is full, the frames in it show the peer that the link is alive.
                 let _unsent = frames.try_send(Frame { call: 0, body: Some(Body::Pong(Pong {})) });
             }
-            Some(Body::Heartbeat(beat)) => handler.handle_heartbeat(beat).await,
-            _ => log::warn!(target: "links", peer:% = peer; "frame out of place, skipped"),
+            Some(Body::Heartbeat(heartbeat)) => handler.handle_heartbeat(heartbeat).await,
+            _ => log::warn!(target: "links", peer:% = peer; "unexpected frame skipped"),
         }
     }
-    // The caller is gone, and so is every call's reason to go on.
+    // Cancels the calls that are still in flight.
     closed.cancel();
 }
 
-async fn prove_peer(
-    framing: &mut Framed<TcpStream, FrameCodec>,
+async fn authenticate_peer(
+    transport: &mut Framed<TcpStream, FrameCodec>,
     key: &DeploymentKey,
 ) -> Option<BoxId> {
     let mut nonce = vec![0; NONCE_LEN];
     rand::rng().fill_bytes(&mut nonce);
     let challenge = Body::Challenge(Challenge { nonce: nonce.clone() });
-    framing.send(Frame { call: 0, body: Some(challenge) }).await.ok()?;
-    let answer = framing.next().await?.ok()?;
-    let Some(Body::ChallengeResponse(proof)) = answer.body else {
+    transport.send(Frame { call: 0, body: Some(challenge) }).await.ok()?;
+    let reply = transport.next().await?.ok()?;
+    let Some(Body::ChallengeResponse(response)) = reply.body else {
         return None;
     };
-    let peer: BoxId = proof.box_id.parse().ok()?;
-    key.verify(&nonce, &peer, &proof.mac).then_some(peer)
+    let peer: BoxId = response.box_id.parse().ok()?;
+    key.verify(&nonce, &peer, &response.mac).then_some(peer)
 }
 
-/// The calls of one connection that are still being answered.
+/// Calls of one connection that are in flight, by call number.
 #[derive(Debug, Clone, Default)]
 struct CallTable(Arc<Mutex<HashMap<u64, CancellationToken>>>);
 
--- a/crates/links/src/shard.rs
+++ b/crates/links/src/shard.rs
@@ -1,4 +1,4 @@
-//! Calls to boxes that keep shards of jobs.
+//! Calls to storage boxes, which serve the shards of the job log.
 
 use std::time::Duration;
 
@@ -10,65 +10,68 @@
 use crate::{CallError, LinkPool, ResponseStream};
 
 impl LinkPool {
-    /// Sends a question to a keeping box; `request_id` is what it is about, for the logs.
+    /// Sends a shard request to a storage box; `request_id` identifies the request in logs.
     pub async fn call_shard(
         &self,
         address: &str,
         request_id: &str,
-        time: Duration,
+        timeout: Duration,
         body: shard_request::Body,
     ) -> Result<ResponseStream, CallError> {
         let request = Request {
             request_id: request_id.to_owned(),
             traceparent: String::new(),
-            time_left_ms: whole_millis(time),
+            time_left_ms: whole_millis(timeout),
             body: Some(request::Body::Shard(ShardRequest { body: Some(body) })),
         };
         self.call(address, request).await
     }
 
-    /// Asks a keeping box for its one answer, within `time`. When the connection is lost under the
-    /// question, it is asked again on a new one, if asking twice does no harm.
+    /// Makes a call to a storage box that returns a single item within `timeout`. If the connection
+    /// is lost during the call, an idempotent request is retried once on a new connection.
     pub async fn call_shard_unary(
         &self,
         address: &str,
-        time: Duration,
+        timeout: Duration,
         body: shard_request::Body,
     ) -> Result<shard_response::Body, CallError> {
-        let asked = async {
-            let again = may_repeat(&body).then(|| body.clone());
-            let answer = self.ask_once(address, time, body).await;
-            match (answer, again) {
+        let call = async {
+            let retry_body = is_idempotent(&body).then(|| body.clone());
+            let result = self.call_shard_once(address, timeout, body).await;
+            match (result, retry_body) {
                 (Err(CallError::LinkLost), Some(body)) => {
-                    // Whatever the second answer is, the first question may have been carried out.
-                    let answer = self.ask_once(address, time, body).await;
-                    answer.map_err(|error| match error {
+                    // The first request may have run, so the retry must not report `NotSent`.
+                    let result = self.call_shard_once(address, timeout, body).await;
+                    result.map_err(|error| match error {
                         CallError::NotSent { .. } => CallError::LinkLost,
                         other => other,
                     })
                 }
-                (answer, _) => answer,
+                (result, _) => result,
             }
         };
-        let silence = CallError::Broken { why: "silence" };
-        tokio::time::timeout(time, asked).await.map_err(|_elapsed| silence)?
+        let timed_out = CallError::Broken { why: "timeout" };
+        tokio::time::timeout(timeout, call).await.map_err(|_elapsed| timed_out)?
     }
 
-    async fn ask_once(
+    async fn call_shard_once(
         &self,
         address: &str,
-        time: Duration,
+        timeout: Duration,
         body: shard_request::Body,
     ) -> Result<shard_response::Body, CallError> {
-        let item = self.call_shard(address, "", time, body).await?.single(time).await?;
+        let item = self.call_shard(address, "", timeout, body).await?.single(timeout).await?;
         match item.body {
-            Some(response_item::Body::Shard(ShardResponse { body: Some(answer) })) => Ok(answer),
-            _ => Err(CallError::Broken { why: "an answer of another kind" }),
+            Some(response_item::Body::Shard(ShardResponse { body: Some(response) })) => {
+                Ok(response)
+            }
+            _ => Err(CallError::Broken { why: "unexpected item kind" }),
         }
     }
 }
 
-/// A piece of a copy is appended to those before it; everything else names what it is about.
-const fn may_repeat(body: &shard_request::Body) -> bool {
+/// Returns whether a request is idempotent. Only copy chunks are not: each one is appended to the
+/// previous chunks.
+const fn is_idempotent(body: &shard_request::Body) -> bool {
     !matches!(body, shard_request::Body::Copy(_))
 }
--- a/crates/links/tests/whole_answers.rs
+++ b/crates/links/tests/responses.rs
@@ -1,4 +1,4 @@
-//! Calls over real connections: whole answers to their own requests, or typed errors.
+//! Calls over real connections return complete responses to their own requests, or typed errors.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,8 +18,8 @@
 };
 use wire::{DeploymentKey, FrameCodec, ResponseChecksum};
 
-/// Longer than any answer takes; a test that reaches it has failed.
-const SILENCE: Duration = Duration::from_secs(20);
+/// Upper bound for any response; a test that reaches it fails.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn key(text: &str) -> DeploymentKey {
     DeploymentKey::new(text).expect("long enough")
@@ -49,7 +49,7 @@
     }
 }
 
-/// Answers with the request's own id, in three pieces; `refuse` and `silent` are kept.
+/// Responds with the request's ID in three items; refuses `refuse` and never responds to `silent`.
 #[derive(Debug, Clone)]
 struct EchoHandler;
 
@@ -63,7 +63,7 @@
             "silent" => cancel.cancelled().await,
             id => {
                 for piece in 0..3 {
-                    // Lets other calls' pieces come in between.
+                    // Lets the items of other calls interleave.
                     tokio::task::yield_now().await;
                     sink.item(part(&format!("{id}.{piece}"))).await;
                 }
@@ -84,7 +84,7 @@
 }
 
 #[tokio::test]
-async fn many_calls_on_one_connection_get_their_own_answers() {
+async fn concurrent_calls_on_one_connection_get_their_own_responses() {
     let address = echo_server().await.to_string();
     let pool = pool("the-right-key-123");
     let calls = (0..100).map(|index| {
@@ -92,11 +92,11 @@
         tokio::spawn(async move {
             let id = format!("r{index}");
             let mut stream = pool.call(&address, request(&id)).await.expect("sent");
-            let mut came = Vec::new();
-            while let Some(item) = stream.next(SILENCE).await.expect("whole") {
-                came.push(text(&item));
+            let mut received = Vec::new();
+            while let Some(item) = stream.next(TEST_TIMEOUT).await.expect("complete") {
+                received.push(text(&item));
             }
-            assert_eq!(came, (0..3).map(|piece| format!("{id}.{piece}")).collect::<Vec<_>>());
+            assert_eq!(received, (0..3).map(|piece| format!("{id}.{piece}")).collect::<Vec<_>>());
             assert_eq!(stream.end(), Some(ResponseEnd { tokens: 3, text_digest: 7 }));
         })
     });
@@ -106,64 +106,66 @@
 }
 
 #[tokio::test]
-async fn a_refusal_keeps_its_kind() {
+async fn refusal_kind_reaches_the_caller() {
     let address = echo_server().await.to_string();
     let mut stream =
         pool("the-right-key-123").call(&address, request("refuse")).await.expect("sent");
-    let error = stream.next(SILENCE).await.expect_err("refused");
+    let error = stream.next(TEST_TIMEOUT).await.expect_err("refused");
     assert!(matches!(&error, CallError::Refused(_)) && error.definitely_not_run());
 }
 
 #[tokio::test]
-async fn a_peer_without_the_key_gets_no_answer() {
+async fn peer_with_wrong_key_gets_no_response() {
     let address = echo_server().await.to_string();
     let called = pool("the-wrong-key-123").call(&address, request("r")).await;
-    let answer = match called {
-        Ok(mut stream) => stream.next(SILENCE).await.map(|item| item.map(|item| text(&item))),
+    let response = match called {
+        Ok(mut stream) => stream.next(TEST_TIMEOUT).await.map(|item| item.map(|item| text(&item))),
         Err(error) => Err(error),
     };
-    assert!(answer.is_err(), "{answer:?}");
+    assert!(response.is_err(), "{response:?}");
 }
 
 #[tokio::test]
-async fn nobody_there_means_surely_not_sent() {
+async fn connection_refused_means_not_sent() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("it is bound").to_string();
     drop(listener);
-    let error = pool("the-right-key-123").call(&address, request("r")).await.expect_err("nobody");
+    let error =
+        pool("the-right-key-123").call(&address, request("r")).await.expect_err("no listener");
     assert!(matches!(&error, CallError::NotSent { .. }) && error.definitely_not_run());
 }
 
-/// A peer that shows the protocol and then answers its first call with these frames.
-async fn scripted_server(answer: impl Fn(u64) -> Vec<Frame> + Send + 'static) -> SocketAddr {
+/// Starts a server that responds to its first call with the frames returned by `script`, then
+/// closes the connection.
+async fn scripted_server(script: impl Fn(u64) -> Vec<Frame> + Send + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("it is bound");
     tokio::spawn(async move {
         let (stream, _) = listener.accept().await.expect("a peer");
-        let mut framing: Framed<TcpStream, FrameCodec> = Framed::new(stream, FrameCodec::default());
+        let mut transport: Framed<TcpStream, FrameCodec> =
+            Framed::new(stream, FrameCodec::default());
         let challenge = Body::Challenge(Challenge { nonce: vec![1; 16] });
-        framing.send(Frame { call: 0, body: Some(challenge) }).await.expect("sent");
-        framing.next().await.expect("a proof").expect("a frame");
-        let call = framing.next().await.expect("a request").expect("a frame").call;
-        for frame in answer(call) {
-            framing.send(frame).await.expect("sent");
+        transport.send(Frame { call: 0, body: Some(challenge) }).await.expect("sent");
+        transport.next().await.expect("a challenge response").expect("a frame");
+        let call = transport.next().await.expect("a request").expect("a frame").call;
+        for frame in script(call) {
+            transport.send(frame).await.expect("sent");
         }
-        // The connection closes here.
     });
     address
 }
 
-/// Calls a scripted server; gives the texts that came and how the answer ended.
+/// Calls a scripted server and returns the received texts, or the error that ended the response.
 async fn check(
-    answer: impl Fn(u64) -> Vec<Frame> + Send + 'static,
+    script: impl Fn(u64) -> Vec<Frame> + Send + 'static,
 ) -> Result<Vec<String>, CallError> {
-    let address = scripted_server(answer).await.to_string();
+    let address = scripted_server(script).await.to_string();
     let mut stream = pool("the-right-key-123").call(&address, request("r")).await?;
-    let mut came = Vec::new();
-    while let Some(item) = stream.next(SILENCE).await? {
-        came.push(text(&item));
+    let mut received = Vec::new();
+    while let Some(item) = stream.next(TEST_TIMEOUT).await? {
+        received.push(text(&item));
     }
-    Ok(came)
+    Ok(received)
 }
 
 fn item_frame(call: u64, text: &str) -> Frame {
@@ -171,38 +173,38 @@
 }
 
 fn end_frame(call: u64, texts: &[&str]) -> Frame {
-    let mut tally = ResponseChecksum::default();
+    let mut checksum = ResponseChecksum::default();
     for text in texts {
-        tally.count(&part(text));
+        checksum.count(&part(text));
     }
-    Frame { call, body: Some(Body::End(tally.end())) }
+    Frame { call, body: Some(Body::End(checksum.end())) }
 }
 
-fn is_broken(answer: &Result<Vec<String>, CallError>) -> bool {
-    matches!(answer, Err(error @ (CallError::Broken { .. } | CallError::LinkLost)) if !error.definitely_not_run())
+fn is_incomplete(response: &Result<Vec<String>, CallError>) -> bool {
+    matches!(response, Err(error @ (CallError::Broken { .. } | CallError::LinkLost)) if !error.definitely_not_run())
 }
 
 #[tokio::test]
-async fn a_truncated_answer_is_an_error() {
-    let answer = check(|call| vec![item_frame(call, "a"), item_frame(call, "b")]).await;
-    assert!(is_broken(&answer), "{answer:?}");
+async fn truncated_response_is_an_error() {
+    let response = check(|call| vec![item_frame(call, "a"), item_frame(call, "b")]).await;
+    assert!(is_incomplete(&response), "{response:?}");
 }
 
 #[tokio::test]
-async fn a_lost_a_doubled_or_a_swapped_item_is_an_error() {
-    for came in [&["a"][..], &["a", "b", "b"], &["b", "a"]] {
-        let answer = check(move |call| {
-            let items = came.iter().map(|text| item_frame(call, text));
+async fn lost_duplicated_or_reordered_item_is_an_error() {
+    for received in [&["a"][..], &["a", "b", "b"], &["b", "a"]] {
+        let response = check(move |call| {
+            let items = received.iter().map(|text| item_frame(call, text));
             items.chain([end_frame(call, &["a", "b"])]).collect()
         })
         .await;
-        assert!(is_broken(&answer), "{came:?}: {answer:?}");
+        assert!(is_incomplete(&response), "{received:?}: {response:?}");
     }
 }
 
 #[tokio::test]
-async fn answers_to_other_calls_are_not_taken() {
-    let answer = check(|call| {
+async fn frames_of_other_calls_are_ignored() {
+    let response = check(|call| {
         vec![
             item_frame(call + 7, "foreign"),
             item_frame(call, "own"),
@@ -211,20 +213,21 @@
         ]
     })
     .await;
-    assert_eq!(answer, Ok(vec!["own".to_owned()]));
+    assert_eq!(response, Ok(vec!["own".to_owned()]));
 }
 
-/// A peer that took the connection and reads nothing, as a frozen one does.
+/// A frozen peer, which accepts the connection but reads nothing, must not block its callers.
 #[tokio::test]
-async fn a_peer_that_reads_nothing_does_not_hold_its_callers_up() {
+async fn peer_that_reads_nothing_does_not_block_its_callers() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("it is bound").to_string();
     let frozen = tokio::spawn(async move {
         let (stream, _) = listener.accept().await.expect("a peer");
-        let mut framing: Framed<TcpStream, FrameCodec> = Framed::new(stream, FrameCodec::default());
+        let mut transport: Framed<TcpStream, FrameCodec> =
+            Framed::new(stream, FrameCodec::default());
         let challenge = Body::Challenge(Challenge { nonce: vec![1; 16] });
-        framing.send(Frame { call: 0, body: Some(challenge) }).await.expect("sent");
-        framing.next().await.expect("a proof").expect("a frame");
+        transport.send(Frame { call: 0, body: Some(challenge) }).await.expect("sent");
+        transport.next().await.expect("a challenge response").expect("a frame");
         std::future::pending::<()>().await;
     });
     let pool = pool("the-right-key-123");
@@ -235,22 +238,22 @@
             Ok(stream) => streams.push(stream),
             Err(error) => break error,
         }
-        assert!(streams.len() < 2_000, "everything was queued");
+        assert!(streams.len() < 2_000, "the queue accepted every request");
     };
     assert!(refused.definitely_not_run(), "{refused}");
     frozen.abort();
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_silent_peer_is_left_after_the_silence_allowed() {
-    // The paused clock jumps ahead whenever nothing else can happen.
+async fn response_without_frames_times_out() {
+    // The paused clock advances automatically when all tasks are idle.
     let (_sink, mut stream, _cancel) = links::ResponseStream::local();
-    let error = stream.next(Duration::from_secs(3)).await.expect_err("silence");
-    assert_eq!(error, CallError::Broken { why: "silence" });
+    let error = stream.next(Duration::from_secs(3)).await.expect_err("timed out");
+    assert_eq!(error, CallError::Broken { why: "timeout" });
 }
 
 #[tokio::test]
-async fn a_caller_that_goes_away_cancels_its_call() {
+async fn dropping_the_stream_cancels_the_call() {
     let (sink, stream, cancel) = links::ResponseStream::local();
     drop(stream);
     assert!(cancel.is_cancelled());
--- a/crates/links/tests/silent_links.rs
+++ b/crates/links/tests/unresponsive_links.rs
@@ -1,4 +1,5 @@
-//! Links whose connection falls silent without a reset: noticed within a bound, and left for a new one.
+//! Connections that stop delivering data without a reset: the pool detects them in bounded time
+//! and replaces them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,8 +18,8 @@
     response_item, shard_request, shard_response,
 };
 
-/// Longer than any answer takes; a test that reaches it has failed.
-const LONG: Duration = Duration::from_secs(20);
+/// Upper bound for any response; a test that reaches it fails.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 const KEY: &str = "the-right-key-123";
 
 fn pool() -> LinkPool {
@@ -27,11 +28,11 @@
     LinkPool::new(LinkSettings { me, key }, CancellationToken::new())
 }
 
-/// Answers `wait` never, and everything else at once.
+/// Never responds to the request `wait`, and responds to all others immediately.
 #[derive(Debug, Clone)]
-struct QuickHandler;
+struct TestHandler;
 
-impl PeerHandler for QuickHandler {
+impl PeerHandler for TestHandler {
     async fn request(&self, request: Request, mut sink: ResponseSink, cancel: CancellationToken) {
         if request.request_id == "wait" {
             cancel.cancelled().await;
@@ -52,12 +53,12 @@
     async fn handle_heartbeat(&self, _: BoxHeartbeat) {}
 }
 
-/// A proxy before a box that answers.
+/// Starts a server behind a fault-injecting proxy.
 async fn proxied_server() -> FaultProxy {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let target: SocketAddr = listener.local_addr().expect("it is bound");
     let key = DeploymentKey::new(KEY).expect("long enough");
-    tokio::spawn(serve_links(listener, key, QuickHandler, CancellationToken::new()));
+    tokio::spawn(serve_links(listener, key, TestHandler, CancellationToken::new()));
     let proxy = FaultProxy::start().await.expect("a free port");
     proxy.aim(target);
     proxy
@@ -65,16 +66,19 @@
 
 async fn call(pool: &LinkPool, proxy: &FaultProxy, id: &str) -> Result<ResponseItem, CallError> {
     let request = Request { request_id: id.to_owned(), ..Request::default() };
-    pool.call(&proxy.address.to_string(), request).await?.single(LONG).await
+    pool.call(&proxy.address.to_string(), request).await?.single(TEST_TIMEOUT).await
 }
 
-async fn ask(pool: &LinkPool, proxy: &FaultProxy) -> Result<shard_response::Body, CallError> {
+async fn query_served(
+    pool: &LinkPool,
+    proxy: &FaultProxy,
+) -> Result<shard_response::Body, CallError> {
     let body = shard_request::Body::Served(ServedQuery::default());
-    pool.call_shard_unary(&proxy.address.to_string(), LONG, body).await
+    pool.call_shard_unary(&proxy.address.to_string(), TEST_TIMEOUT, body).await
 }
 
-/// Which way a connection falls silent.
-fn ways() -> [fn(&mut LinkFaults); 3] {
+/// Faults that silence a connection towards the server, back from it, or in both directions.
+fn silence_faults() -> [fn(&mut LinkFaults); 3] {
     [
         |faults| faults.silences_there += 1,
         |faults| faults.silences_back += 1,
@@ -86,48 +90,50 @@
 }
 
 #[tokio::test]
-async fn a_call_on_a_silent_link_fails_as_lost_and_the_next_one_works() {
-    for silence in ways() {
+async fn call_on_unresponsive_link_fails_with_link_lost_and_the_next_one_works() {
+    for add_fault in silence_faults() {
         let (pool, proxy) = (pool(), proxied_server().await);
-        call(&pool, &proxy, "first").await.expect("answered");
-        proxy.change(silence);
-        let lost = time::timeout(LONG, call(&pool, &proxy, "second")).await.expect("in time");
+        call(&pool, &proxy, "first").await.expect("responds");
+        proxy.change(add_fault);
+        let lost =
+            time::timeout(TEST_TIMEOUT, call(&pool, &proxy, "second")).await.expect("in time");
         assert_eq!(lost.expect_err("lost"), CallError::LinkLost);
-        call(&pool, &proxy, "third").await.expect("answered on a new connection");
+        call(&pool, &proxy, "third").await.expect("responds on a new connection");
     }
 }
 
 #[tokio::test]
-async fn a_call_that_waits_when_the_link_falls_silent_is_told() {
+async fn waiting_call_fails_when_the_link_becomes_unresponsive() {
     let (pool, proxy) = (pool(), proxied_server().await);
-    call(&pool, &proxy, "first").await.expect("answered");
+    call(&pool, &proxy, "first").await.expect("responds");
     let waiting = {
         let (pool, proxy) = (pool.clone(), proxy.clone());
         tokio::spawn(async move { call(&pool, &proxy, "wait").await })
     };
-    call(&pool, &proxy, "behind it").await.expect("answered");
+    call(&pool, &proxy, "behind it").await.expect("responds");
     proxy.silence();
-    let lost = time::timeout(LONG, waiting).await.expect("in time").expect("no panic");
+    let lost = time::timeout(TEST_TIMEOUT, waiting).await.expect("in time").expect("no panic");
     assert_eq!(lost.expect_err("lost"), CallError::LinkLost);
 }
 
 #[tokio::test]
-async fn a_question_to_a_keeping_box_is_asked_again_on_a_new_connection() {
-    for silence in ways() {
+async fn shard_request_is_retried_on_a_new_connection() {
+    for add_fault in silence_faults() {
         let (pool, proxy) = (pool(), proxied_server().await);
-        ask(&pool, &proxy).await.expect("answered");
-        proxy.change(silence);
-        let answer = time::timeout(LONG, ask(&pool, &proxy)).await.expect("in time");
-        assert!(matches!(answer, Ok(shard_response::Body::Heartbeat(_))), "{answer:?}");
+        query_served(&pool, &proxy).await.expect("responds");
+        proxy.change(add_fault);
+        let response =
+            time::timeout(TEST_TIMEOUT, query_served(&pool, &proxy)).await.expect("in time");
+        assert!(matches!(response, Ok(shard_response::Body::Heartbeat(_))), "{response:?}");
     }
 }
 
 #[tokio::test]
-async fn a_link_that_lives_is_kept_however_long_a_call_waits() {
+async fn responsive_link_is_kept_while_a_call_waits() {
     let (pool, proxy) = (pool(), proxied_server().await);
-    let waited = time::timeout(Duration::from_secs(2), call(&pool, &proxy, "wait")).await;
-    assert!(waited.is_err(), "the call still waits: {waited:?}");
-    // On another connection this would be refused.
+    let outcome = time::timeout(Duration::from_secs(2), call(&pool, &proxy, "wait")).await;
+    assert!(outcome.is_err(), "the call must still be waiting: {outcome:?}");
+    // Refuses new connections, so the next call only succeeds on the open one.
     proxy.change(|faults| faults.refuse = true);
-    call(&pool, &proxy, "after it").await.expect("answered on the same connection");
+    call(&pool, &proxy, "after it").await.expect("responds on the same connection");
 }
--- a/crates/xtask/src/ablate.rs
+++ b/crates/xtask/src/ablate.rs
@@ -218,9 +218,9 @@
         name: "pulse",
         without: "a silent link is not given up",
         edit: SourceEdit {
-            file: "crates/links/src/pulse.rs",
-            from: "if now >= pong_by { PulseStep::Dead }",
-            to: "if now >= pong_by { PulseStep::Wait(now + REST_TIME) }",
+            file: "crates/links/src/liveness.rs",
+            from: "if now >= pong_by { LinkAction::Dead }",
+            to: "if now >= pong_by { LinkAction::Wait(now + IDLE_TIMEOUT) }",
         },
     },
     Ablation {
--- a/crates/xtask/src/mutate.rs
+++ b/crates/xtask/src/mutate.rs
@@ -379,11 +379,11 @@
     },
     Mutation {
         name: "platform: a silent link counts as one that rests",
-        file: "crates/links/src/pulse.rs",
-        from: "if now >= pong_by { PulseStep::Dead }",
-        to: "if now >= pong_by { PulseStep::Rested }",
+        file: "crates/links/src/liveness.rs",
+        from: "if now >= pong_by { LinkAction::Dead }",
+        to: "if now >= pong_by { LinkAction::Idle }",
         package: "links",
-        test: "silent_link",
+        test: "unresponsive_link",
     },
     Mutation {
         name: "platform: kept connections are used after a silent one",
