--- a/crates/wire/src/auth.rs
+++ b/crates/wire/src/auth.rs
@@ -1,4 +1,4 @@
-//! The deployment's key: boxes refuse peers and operators that do not show it.
+//! The deployment's key, which authenticates peers and operators.
 
 use std::fmt;
 use std::sync::Arc;
@@ -7,15 +7,15 @@
 use ids::BoxId;
 use sha2::Sha256;
 
-/// Shortest key, in bytes.
-const MIN_KEY: usize = 16;
+/// Minimum length of a key, in bytes.
+const MIN_KEY_LEN: usize = 16;
 
-/// Why a key was refused.
+/// The key is too short.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the deployment key has {0} bytes: use at least {MIN_KEY}, the same on every box")]
+#[error("the deployment key has {0} bytes: use at least {MIN_KEY_LEN}, the same on every box")]
 pub struct KeyError(usize);
 
-/// A secret shared by the boxes and operators of one deployment; never shown.
+/// Secret shared by the boxes and operators of one deployment. `Debug` does not reveal it.
 #[derive(Clone, PartialEq, Eq)]
 pub struct DeploymentKey(Arc<[u8]>);
 
@@ -26,44 +26,45 @@
 }
 
 impl DeploymentKey {
-    /// A key of at least 16 bytes; white space around it is dropped.
+    /// Creates a key of at least 16 bytes. Surrounding white space is trimmed.
     pub fn new(text: &str) -> Result<Self, KeyError> {
         let bytes = text.trim().as_bytes();
-        if bytes.len() < MIN_KEY {
+        if bytes.len() < MIN_KEY_LEN {
             return Err(KeyError(bytes.len()));
         }
         Ok(Self(Arc::from(bytes)))
     }
 
-    /// Proves the key to whoever sent `nonce`.
+    /// Returns the MAC with which `box_id` responds to the challenge `nonce`.
     pub fn prove(&self, nonce: &[u8], box_id: &BoxId) -> Vec<u8> {
         self.mac(nonce, box_id).finalize().into_bytes().to_vec()
     }
 
-    /// Checks a proof, in constant time.
-    pub fn verify(&self, nonce: &[u8], box_id: &BoxId, proof: &[u8]) -> bool {
-        self.mac(nonce, box_id).verify_slice(proof).is_ok()
+    /// Verifies the response to a challenge in constant time.
+    pub fn verify(&self, nonce: &[u8], box_id: &BoxId, mac: &[u8]) -> bool {
+        self.mac(nonce, box_id).verify_slice(mac).is_ok()
     }
 
-    /// Checks a key shown as it is, as operators do; takes the same time for every wrong key.
-    pub fn matches(&self, shown: &str) -> bool {
+    /// Compares with a key sent in plain text, as operators do. Takes the same time for every wrong
+    /// key of valid length.
+    pub fn matches(&self, candidate: &str) -> bool {
         let nonce = b"operator";
-        let Ok(other) = Self::new(shown) else {
+        let Ok(other) = Self::new(candidate) else {
             return false;
         };
-        let proof = other.keyed(nonce).finalize().into_bytes();
-        self.keyed(nonce).verify_slice(&proof).is_ok()
+        let mac = other.hmac(nonce).finalize().into_bytes();
+        self.hmac(nonce).verify_slice(&mac).is_ok()
     }
 
-    fn keyed(&self, text: &[u8]) -> Hmac<Sha256> {
+    fn hmac(&self, message: &[u8]) -> Hmac<Sha256> {
         let mut mac =
             Hmac::<Sha256>::new_from_slice(&self.0).expect("HMAC takes a key of any length");
-        mac.update(text);
+        mac.update(message);
         mac
     }
 
     fn mac(&self, nonce: &[u8], box_id: &BoxId) -> Hmac<Sha256> {
-        let mut mac = self.keyed(nonce);
+        let mut mac = self.hmac(nonce);
         mac.update(box_id.as_str().as_bytes());
         mac
     }
--- a/crates/wire/src/tally.rs
+++ b/crates/wire/src/checksum.rs
@@ -1,21 +1,21 @@
-//! Count, length and digest of an answer's items, on both ends of a call.
+//! Checksum over the items of a response, computed on both sides of a call.
 
 use ids::DigestWriter;
 use prost::Message;
 
 use crate::peer::{End, ResponseItem};
 
-/// Why an answer is not whole.
+/// The received items do not match the end frame of the response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error(
-    "the answer's end states {stated} items and {came} came, or their content differs: the answer is refused"
+    "the response is incomplete: its end states {stated} items and {got} were received, or their content differs"
 )]
 pub struct ChecksumMismatch {
     stated: u64,
-    came: u64,
+    got: u64,
 }
 
-/// What has been sent or received of an answer so far.
+/// Number, encoded length and digest of the items sent or received so far.
 #[derive(Debug, Default)]
 pub struct ResponseChecksum {
     items: u64,
@@ -23,13 +23,13 @@
 }
 
 impl ResponseChecksum {
-    /// Counts an item.
+    /// Adds an item.
     pub fn count(&mut self, item: &ResponseItem) {
         self.items += 1;
         self.digest.update(&item.encode_to_vec());
     }
 
-    /// The end that closes an answer of these items.
+    /// Returns the end frame for the items added so far.
     pub fn end(&self) -> End {
         End {
             items: self.items,
@@ -39,10 +39,11 @@
         }
     }
 
-    /// Checks a received end against the received items.
+    /// Checks a received end frame against the items added so far.
     pub fn check(&self, end: &End) -> Result<(), ChecksumMismatch> {
-        let mine = self.end();
-        let whole = (mine.items, mine.length, mine.digest) == (end.items, end.length, end.digest);
-        if whole { Ok(()) } else { Err(ChecksumMismatch { stated: end.items, came: self.items }) }
+        let actual = self.end();
+        let equal =
+            (actual.items, actual.length, actual.digest) == (end.items, end.length, end.digest);
+        if equal { Ok(()) } else { Err(ChecksumMismatch { stated: end.items, got: self.items }) }
     }
 }
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,4 +1,4 @@
-//! Frames on a byte stream.
+//! Encoding of frames on a byte stream.
 
 use std::io;
 
@@ -8,17 +8,17 @@
 
 use crate::peer::Frame;
 
-/// Largest frame, in bytes. A step of 8,192 prompts and a plain body both fit.
+/// Maximum length of a frame, in bytes. A step of 8,192 prompts and a plain request body fit.
 pub const MAX_FRAME: usize = 16 << 20;
 
-/// Why a connection's bytes were refused; the connection is closed.
+/// Errors that close the connection.
 #[derive(Debug, thiserror::Error)]
 pub enum CodecError {
-    /// The connection failed, or a frame is longer than [`MAX_FRAME`].
+    /// The connection failed, or a frame exceeds [`MAX_FRAME`].
     #[error("the connection failed: {0}")]
     Io(#[from] io::Error),
-    /// A frame that is no message.
-    #[error("a frame is no message of this protocol ({0}): check that both boxes run one release")]
+    /// A frame cannot be decoded.
+    #[error("a frame cannot be decoded ({0}): check that both boxes run the same release")]
     Malformed(#[from] prost::DecodeError),
 }
 
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -1,4 +1,4 @@
-//! Between wire messages and the decision code's types.
+//! Conversion between wire messages and the types of the decision code.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -8,47 +8,51 @@
 
 use crate::peer::{BoxHeartbeat, Member};
 
-/// Why a message was refused.
+/// Errors when converting a received message.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ConvertError {
-    /// A text that is no id.
+    /// A field is not a valid ID.
     #[error(transparent)]
     Id(#[from] IdError),
-    /// A field that must be there is not.
-    #[error("the message lacks `{0}`: check that both boxes run one release")]
+    /// A required field is missing.
+    #[error("the message lacks field `{0}`: check that both boxes run the same release")]
     Missing(&'static str),
 }
 
-/// Reads an id from a message's field.
+/// Parses an ID from a field of a message.
 pub fn parse_id<T: FromStr<Err = IdError>>(text: &str) -> Result<T, ConvertError> {
     Ok(text.parse()?)
 }
 
-/// A beat for the wire; the target list's revision rides along.
-pub fn heartbeat_to_wire(beat: &Heartbeat, targets_revision: Generation) -> BoxHeartbeat {
+/// Converts a heartbeat to its wire form, which also carries the revision of the target list.
+pub fn heartbeat_to_wire(heartbeat: &Heartbeat, targets_revision: Generation) -> BoxHeartbeat {
     BoxHeartbeat {
-        box_id: beat.from.to_string(),
-        incarnation: beat.incarnation.get(),
-        leaving: beat.leaving,
-        config_generation: beat.generation.get(),
+        box_id: heartbeat.from.to_string(),
+        incarnation: heartbeat.incarnation.get(),
+        leaving: heartbeat.leaving,
+        config_generation: heartbeat.generation.get(),
         targets_revision: targets_revision.get(),
-        record: beat.record.as_ref().map(|record| member_to_wire(record, Duration::ZERO)),
-        told: beat.relayed.iter().map(|told| member_to_wire(&told.record, told.age)).collect(),
+        record: heartbeat.record.as_ref().map(|record| member_to_wire(record, Duration::ZERO)),
+        told: heartbeat
+            .relayed
+            .iter()
+            .map(|relayed| member_to_wire(&relayed.record, relayed.age))
+            .collect(),
     }
 }
 
-/// A beat from the wire.
-pub fn heartbeat_from_wire(beat: BoxHeartbeat) -> Result<Heartbeat, ConvertError> {
-    let record = beat.record.map(member_from_wire).transpose()?;
-    let told: Result<Vec<RelayedRecord>, ConvertError> =
-        beat.told.into_iter().map(member_from_wire).collect();
+/// Converts a received heartbeat.
+pub fn heartbeat_from_wire(heartbeat: BoxHeartbeat) -> Result<Heartbeat, ConvertError> {
+    let record = heartbeat.record.map(member_from_wire).transpose()?;
+    let relayed: Result<Vec<RelayedRecord>, ConvertError> =
+        heartbeat.told.into_iter().map(member_from_wire).collect();
     Ok(Heartbeat {
-        from: parse_id(&beat.box_id)?,
-        incarnation: Incarnation::new(beat.incarnation),
-        leaving: beat.leaving,
-        generation: Generation::new(beat.config_generation),
-        record: record.map(|told| told.record),
-        relayed: told?,
+        from: parse_id(&heartbeat.box_id)?,
+        incarnation: Incarnation::new(heartbeat.incarnation),
+        leaving: heartbeat.leaving,
+        generation: Generation::new(heartbeat.config_generation),
+        record: record.map(|relayed| relayed.record),
+        relayed: relayed?,
     })
 }
 
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,16 +1,17 @@
 //! Messages between boxes and their framing.
 //!
-//! One length-delimited frame carries one [`peer::Frame`]. A connection begins with a
-//! challenge and its proof under the deployment's key. Each call has a number; its answer is
-//! any count of items and exactly one end, which states how many items there were, their
-//! encoded length and digest. An answer without that end is an error, never a short success.
+//! One length-delimited frame carries one [`peer::Frame`]. A connection begins with a challenge,
+//! which the connecting side answers with a MAC under the deployment's key. Each call has a
+//! number. Its response consists of any number of items and exactly one end frame, which states
+//! the number of items, their encoded length and digest. A response without an end frame is an
+//! error.
 
 mod auth;
+mod checksum;
 mod codec;
 mod convert;
-mod tally;
 
-/// The generated messages.
+/// Generated message types.
 #[expect(
     missing_docs,
     clippy::pedantic,
@@ -22,6 +23,6 @@
 }
 
 pub use auth::{DeploymentKey, KeyError};
+pub use checksum::{ChecksumMismatch, ResponseChecksum};
 pub use codec::{CodecError, FrameCodec, MAX_FRAME};
 pub use convert::{ConvertError, heartbeat_from_wire, heartbeat_to_wire, parse_id};
-pub use tally::{ChecksumMismatch, ResponseChecksum};
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The codec and the key, fed what a hostile or broken peer may send.
+//! The codec, the checksum and the key reject invalid input from a faulty or hostile peer.
 
 use arbtest::arbtest;
 use bytes::{BufMut, BytesMut};
@@ -12,9 +12,9 @@
     Frame { call, body: Some(Body::Cancel(Cancel { why: why.to_owned() })) }
 }
 
-/// Arbitrary bytes end in frames or an error, never in a panic or a frame out of thin air.
+/// Decoding arbitrary bytes must not panic or loop forever.
 #[test]
-fn arbitrary_bytes_do_no_harm() {
+fn arbitrary_bytes_decode_without_panic() {
     for seed in 0..500_u64 {
         arbtest(|u| {
             let mut codec = FrameCodec::default();
@@ -26,9 +26,9 @@
     }
 }
 
-/// A stream cut anywhere gives a prefix of its frames.
+/// A truncated stream must decode to a prefix of its frames.
 #[test]
-fn a_cut_stream_gives_only_whole_frames() {
+fn truncated_stream_yields_only_complete_frames() {
     for seed in 0..200_u64 {
         arbtest(|u| {
             let count = u.int_in_range(1..=6_u64)?;
@@ -37,10 +37,12 @@
             for call in 0..count {
                 codec.encode(frame(call, "x"), &mut bytes).expect("a small frame");
             }
-            let cut = u.choose_index(bytes.len())?;
-            bytes.truncate(cut);
+            let len = u.choose_index(bytes.len())?;
+            bytes.truncate(len);
             let mut calls = Vec::new();
-            while let Some(frame) = codec.decode(&mut bytes).expect("no damage, only a cut") {
+            while let Some(frame) =
+                codec.decode(&mut bytes).expect("truncation is not a decoding error")
+            {
                 calls.push(frame.call);
             }
             assert_eq!(calls, (0..calls.len() as u64).collect::<Vec<u64>>());
@@ -52,7 +54,7 @@
 }
 
 #[test]
-fn an_oversized_frame_is_refused_before_it_is_read() {
+fn oversized_frame_is_rejected_before_it_is_read() {
     let mut bytes = BytesMut::new();
     bytes.put_u32(u32::try_from(MAX_FRAME).expect("it fits") + 1);
     FrameCodec::default().decode(&mut bytes).unwrap_err();
@@ -64,32 +66,32 @@
 }
 
 #[test]
-fn an_end_passes_only_for_the_items_it_counts() {
+fn end_frame_matches_only_its_own_items() {
     let mut sent = ResponseChecksum::default();
     sent.count(&part(b"one"));
     sent.count(&part(b"two"));
-    let mut whole = ResponseChecksum::default();
-    whole.count(&part(b"one"));
-    whole.count(&part(b"two"));
-    whole.check(&sent.end()).unwrap();
+    let mut complete = ResponseChecksum::default();
+    complete.count(&part(b"one"));
+    complete.count(&part(b"two"));
+    complete.check(&sent.end()).unwrap();
     for items in [&[b"one"][..], &[b"two", b"one"], &[b"one", b"two", b"two"], &[b"one", b"twx"]] {
-        let mut came = ResponseChecksum::default();
+        let mut received = ResponseChecksum::default();
         for body in items {
-            came.count(&part(*body));
+            received.count(&part(*body));
         }
-        assert!(came.check(&sent.end()).is_err(), "{items:?}");
+        assert!(received.check(&sent.end()).is_err(), "{items:?}");
     }
 }
 
 #[test]
-fn only_the_same_key_proves_itself_and_it_is_never_shown() {
+fn only_the_same_key_verifies_and_debug_hides_it() {
     let key = DeploymentKey::new("a-key-of-sixteen-bytes").expect("long enough");
     let other = DeploymentKey::new("another-key-of-bytes!!").expect("long enough");
     let me: BoxId = "box-1".parse().expect("an id");
-    let proof = key.prove(b"nonce", &me);
-    assert!(key.verify(b"nonce", &me, &proof));
-    assert!(!other.verify(b"nonce", &me, &proof));
-    assert!(!key.verify(b"other", &me, &proof));
+    let mac = key.prove(b"nonce", &me);
+    assert!(key.verify(b"nonce", &me, &mac));
+    assert!(!other.verify(b"nonce", &me, &mac));
+    assert!(!key.verify(b"other", &me, &mac));
     assert!(key.matches("a-key-of-sixteen-bytes\n") && !key.matches("a-key-of-sixteen-byte"));
     assert!(!format!("{key:?}").contains("sixteen"));
     DeploymentKey::new("short").unwrap_err();
--- a/crates/xtask/src/mutate.rs
+++ b/crates/xtask/src/mutate.rs
@@ -131,9 +131,9 @@
     },
     Mutation {
         name: "4: an answer's end is not checked",
-        file: "crates/wire/src/tally.rs",
-        from: "if whole { Ok(()) }",
-        to: "if whole || true { Ok(()) }",
+        file: "crates/wire/src/checksum.rs",
+        from: "if equal { Ok(()) }",
+        to: "if equal || true { Ok(()) }",
         package: "links",
         test: "is_an_error",
     },
