--- a/crates/ids/src/digest.rs
+++ b/crates/ids/src/digest.rs
@@ -1,4 +1,4 @@
-//! The digest that ends every stream, so that a short answer is never taken for a whole one.
+//! Digests of streamed content, which detect incomplete responses.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,23 +8,23 @@
 
 use crate::NumberError;
 
-/// 64-bit digest of a whole answer's bytes; guards against loss, not against forgery.
+/// 64-bit digest of the bytes of a complete response. Detects loss; not cryptographically secure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ContentDigest(u64);
 
 impl ContentDigest {
-    /// Digest of `bytes`.
+    /// Computes the digest of `bytes`.
     pub fn of(bytes: &[u8]) -> Self {
         Self(xxhash_rust::xxh3::xxh3_64(bytes))
     }
 
-    /// Wraps a digest received from elsewhere.
+    /// Wraps a received digest.
     pub const fn new(digest: u64) -> Self {
         Self(digest)
     }
 
-    /// The bare number.
+    /// Returns the digest as a number.
     pub const fn get(self) -> u64 {
         self.0
     }
@@ -44,7 +44,7 @@
     }
 }
 
-/// Digests an answer chunk by chunk.
+/// Computes the digest of content that arrives in chunks.
 #[derive(Default)]
 pub struct DigestWriter {
     hash: Xxh3Default,
@@ -52,23 +52,23 @@
 }
 
 impl DigestWriter {
-    /// Takes the next chunk.
+    /// Adds the next chunk.
     pub fn update(&mut self, chunk: &[u8]) {
         self.hash.update(chunk);
         self.len += chunk.len() as u64;
     }
 
-    /// Bytes taken so far.
+    /// Returns the total length of all chunks so far, in bytes.
     pub const fn len(&self) -> u64 {
         self.len
     }
 
-    /// Whether nothing has been taken.
+    /// Returns whether the total length is zero.
     pub const fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Digest of all chunks taken so far.
+    /// Returns the digest of all chunks so far.
     pub fn digest(&self) -> ContentDigest {
         ContentDigest(self.hash.digest())
     }
--- a/crates/ids/src/life.rs
+++ b/crates/ids/src/incarnation.rs
@@ -1,4 +1,4 @@
-//! One life of a target.
+//! Incarnations of targets.
 
 use std::fmt;
 
@@ -6,12 +6,13 @@
 
 use crate::{InstanceId, StartTime};
 
-/// One life of a target: it may start again under the id that it had.
+/// One incarnation of a target. A restarted target may reuse its instance ID, so the start time
+/// tells its incarnations apart.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TargetIncarnation {
-    /// Its id.
+    /// ID of the instance.
     pub instance: InstanceId,
-    /// When it began.
+    /// Start time of the incarnation.
     #[serde(default)]
     pub born: StartTime,
 }
--- a/crates/ids/src/moment.rs
+++ b/crates/ids/src/moment.rs
@@ -1,10 +1,10 @@
-//! Points in time, handed to the decision code by whoever runs it.
+//! Points in time. Callers of the decision code pass them in; it reads no clock itself.
 
 use std::fmt;
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// Microseconds since the process's own start; compared only within one process.
+/// Microseconds since the start of the process; comparable only within one process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Moment(u64);
 
@@ -15,17 +15,17 @@
     /// Later than any other moment.
     pub const NEVER: Self = Self(u64::MAX);
 
-    /// A moment this long after the start.
+    /// Creates the moment `elapsed` after the start.
     pub fn after_start(elapsed: Duration) -> Self {
         Self(u64::try_from(elapsed.as_micros()).unwrap_or(u64::MAX))
     }
 
-    /// Time since the start.
+    /// Returns the time since the start.
     pub const fn since_start(self) -> Duration {
         Duration::from_micros(self.0)
     }
 
-    /// Time since `earlier`; zero when `earlier` is later.
+    /// Returns the time since `earlier`, or zero if `earlier` is later.
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
@@ -53,8 +53,7 @@
     }
 }
 
-/// Whole milliseconds of a span, for logs and messages. What a `u64` cannot hold, some 500 million years,
-/// becomes its largest value.
-pub fn whole_millis(span: Duration) -> u64 {
-    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+/// Returns the whole milliseconds of a duration, for logs and messages. Saturates at `u64::MAX`.
+pub fn whole_millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/ids/src/number.rs
+++ b/crates/ids/src/number.rs
@@ -1,11 +1,11 @@
-//! Number ids and counters.
+//! Number IDs and counters.
 
 use std::fmt;
 use std::str::FromStr;
 
 use serde::{Deserialize, Serialize};
 
-/// Why a number was refused.
+/// A text is not a valid number of its kind.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("`{text}` is not a {kind}: write a whole number in range")]
 pub struct NumberError {
@@ -29,17 +29,17 @@
         pub struct $name($inner);
 
         impl $name {
-            /// Wraps a bare number.
+            /// Wraps a number.
             pub const fn new(number: $inner) -> Self {
                 Self(number)
             }
 
-            /// The bare number.
+            /// Returns the number.
             pub const fn get(self) -> $inner {
                 self.0
             }
 
-            /// The number after this one; stays at the largest.
+            /// Returns the next number; saturates at the maximum.
             #[must_use]
             pub const fn next(self) -> Self {
                 Self(self.0.saturating_add(1))
@@ -66,58 +66,60 @@
 }
 
 number_id! {
-    /// A training step of one trainer.
+    /// Number of a training step of one trainer.
     StepNumber(u64), "step number"
 }
 number_id! {
-    /// A numbered place for one sample within a step.
+    /// Index of a slot, which holds one sample of a step.
     SlotIndex(u32), "slot index"
 }
 number_id! {
-    /// A version of a pool's model weights; larger is newer, zero means none.
+    /// Version of the model weights of a pool. Newer versions are larger; zero means none.
     ModelVersion(u64), "model version"
 }
 number_id! {
-    /// A lease's fencing token; grows with every change of holder.
+    /// Fencing token of a lease; increases with every change of holder.
     FencingToken(u64), "fencing token"
 }
 number_id! {
-    /// A configuration generation; only grows.
+    /// Generation of the configuration; never decreases.
     Generation(u64), "configuration generation"
 }
 number_id! {
-    /// One life of a process; a later life has a larger number.
+    /// Incarnation of a process; increases with every restart.
     Incarnation(u64), "incarnation"
 }
 number_id! {
-    /// The platform's version of one object; zero means absent.
+    /// Version that the platform assigns to an object; zero means absent.
     ObjectVersion(u64), "object version"
 }
 number_id! {
-    /// A number of generated tokens.
+    /// Number of generated tokens.
     TokenCount(u32), "token count"
 }
 
 number_id! {
-    /// A share of all jobs, kept by one box at a time.
+    /// Index of a shard, a part of all jobs that one box serves at a time.
     ShardIndex(u32), "shard index"
 }
 
 impl SlotIndex {
-    /// The index for use with slices.
+    /// Returns the index as `usize`.
     pub const fn as_usize(self) -> usize {
         self.0 as usize
     }
 }
 
 impl ModelVersion {
-    /// The oldest version still fresh when this one is named, `bound` versions back.
+    /// Returns the oldest version within a staleness bound of `bound` versions when this version is
+    /// named.
     #[must_use]
     pub const fn floor(self, bound: u32) -> Self {
         Self(self.0.saturating_sub(bound as u64))
     }
 }
 number_id! {
-    /// When a life of a target began, in Unix milliseconds of its own clock; zero where it is not told.
-    StartTime(u64), "time of birth"
+    /// Start time of an incarnation of a target, in Unix milliseconds of its own clock; zero if
+    /// unknown.
+    StartTime(u64), "start time"
 }
--- a/crates/ids/src/text.rs
+++ b/crates/ids/src/text.rs
@@ -1,4 +1,4 @@
-//! Text ids: short names checked once, when they are parsed.
+//! Text IDs: short names that are validated once, when parsed.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,10 +6,10 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Longest text id, in bytes; keeps heartbeats and keys in the platform small.
+/// Maximum length of a text ID, in bytes; keeps heartbeats and platform keys small.
 const MAX_ID_LEN: usize = 64;
 
-/// Why a text id was refused.
+/// A text is not a valid ID of its kind.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error(
     "`{text}` is not a {kind}: use 1 to 64 characters from a-z, A-Z, 0-9, `-`, `_` and `.`, \
@@ -20,13 +20,13 @@
     text: String,
 }
 
-fn check(kind: &'static str, text: &str) -> Result<(), IdError> {
+fn validate(kind: &'static str, text: &str) -> Result<(), IdError> {
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    let starts_well = text.starts_with(|c: char| c.is_ascii_alphanumeric());
-    if starts_well && text.len() <= MAX_ID_LEN && text.chars().all(allowed) {
+    let valid_start = text.starts_with(|c: char| c.is_ascii_alphanumeric());
+    if valid_start && text.len() <= MAX_ID_LEN && text.chars().all(allowed) {
         return Ok(());
     }
-    // A refused text may be huge; quote only its start.
+    // The invalid text may be very long, so the error contains only its start.
     let text = text.chars().take(MAX_ID_LEN).collect();
     Err(IdError { kind, text })
 }
@@ -39,7 +39,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The id as text.
+            /// Returns the ID as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -49,7 +49,7 @@
             type Err = IdError;
 
             fn from_str(text: &str) -> Result<Self, IdError> {
-                check($kind, text)?;
+                validate($kind, text)?;
                 Ok(Self(Arc::from(text)))
             }
         }
@@ -77,59 +77,59 @@
 }
 
 text_id! {
-    /// One entry box of the service.
+    /// ID of a box of the service.
     BoxId, "box id"
 }
 text_id! {
-    /// One failure domain.
+    /// ID of a failure domain.
     DomainId, "failure domain id"
 }
 text_id! {
-    /// One target: a model engine, a plain service or a scorer.
+    /// ID of a target: a model engine, a plain service or a scorer.
     TargetId, "target id"
 }
 text_id! {
-    /// One plain service or scorer: a name for targets that answer alike.
+    /// Name of a plain service or scorer, shared by its interchangeable targets.
     ServiceName, "service name"
 }
 text_id! {
-    /// One rollout pool.
+    /// Name of a rollout pool.
     PoolName, "pool name"
 }
 text_id! {
-    /// One trainer of a pool.
+    /// ID of a trainer of a pool.
     TrainerId, "trainer id"
 }
 text_id! {
-    /// One request, the same on every hop.
+    /// ID of a request, the same on every hop.
     RequestId, "request id"
 }
 
 text_id! {
-    /// One job: the samples of a step, asked for together.
+    /// ID of a job, which requests the samples of one step together.
     JobId, "job id"
 }
 text_id! {
-    /// One item of a job, the same whenever it is asked for again.
+    /// ID of an item of a job; stays the same when the item is requested again.
     ItemId, "item id"
 }
 text_id! {
-    /// One trained model.
+    /// Name of a trained model.
     ModelName, "model name"
 }
 text_id! {
-    /// One life of a target.
+    /// ID of a target instance; see [`TargetIncarnation`](crate::TargetIncarnation).
     InstanceId, "instance id"
 }
 text_id! {
-    /// One route of the configuration.
+    /// Name of a route in the configuration.
     RouteName, "route name"
 }
 text_id! {
-    /// A version of the software that a target runs.
+    /// Version of the software that a target runs.
     SoftwareVersion, "software version"
 }
 text_id! {
-    /// One customer: whoever holds keys to the service.
+    /// Name of a customer, who holds keys to the service.
     CustomerName, "customer name"
 }
--- a/crates/ids/src/window.rs
+++ b/crates/ids/src/window.rs
@@ -1,33 +1,33 @@
-//! The versions a sample may be made of.
+//! Weight versions that may generate a sample.
 
 use crate::ModelVersion;
 
-/// From the oldest version allowed to the one now named.
+/// Range from the oldest allowed version to the currently named version, both included.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct VersionWindow {
-    /// The oldest version allowed.
+    /// Oldest allowed version.
     pub floor: ModelVersion,
-    /// The version now named.
+    /// Currently named version.
     pub named: ModelVersion,
 }
 
 impl VersionWindow {
-    /// The window of `named` under a staleness bound of `bound` versions.
+    /// Creates the window for `named` under a staleness bound of `bound` versions.
     pub const fn new(named: ModelVersion, bound: u32) -> Self {
         Self { floor: named.floor(bound), named }
     }
 
-    /// Whether a version is past the staleness bound.
+    /// Returns whether a version exceeds the staleness bound.
     pub fn is_too_old(&self, version: ModelVersion) -> bool {
         version < self.floor
     }
 
-    /// Whether a version has not been named yet, and perhaps never will be.
+    /// Returns whether a version is newer than the named one.
     pub fn is_ahead(&self, version: ModelVersion) -> bool {
         version > self.named
     }
 
-    /// Whether a sample may be made of a version.
+    /// Returns whether a version may generate a sample.
     pub fn contains(&self, version: ModelVersion) -> bool {
         !self.is_too_old(version) && !self.is_ahead(version)
     }
--- a/crates/ids/src/work.rs
+++ b/crates/ids/src/work.rs
@@ -1,4 +1,4 @@
-//! The digest by which one piece of work is known again.
+//! Digests that identify repeated work.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,14 +8,15 @@
 
 use crate::NumberError;
 
-/// 128-bit digest of what a request asks for. A caller's tries bear ids of their own; their content is the
-/// same. Guards against chance, not against forgery.
+/// 128-bit digest of the content of a request. Identifies retries of the same work, which have
+/// different request IDs. Not cryptographically secure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct WorkDigest(u128);
 
 impl WorkDigest {
-    /// Digest of `parts`; their bounds count, so that no two ways of cutting the same bytes are taken for one.
+    /// Computes the digest of `parts`. It covers the length of each part, so that different splits
+    /// of the same bytes have different digests.
     pub fn of(parts: &[&[u8]]) -> Self {
         let mut hash = Xxh3Default::new();
         for part in parts {
--- a/crates/ids/tests/work.rs
+++ b/crates/ids/tests/work_digest.rs
@@ -1,9 +1,9 @@
-//! By what a piece of work is known again.
+//! Digests that identify repeated work.
 
 use ids::WorkDigest;
 
 #[test]
-fn the_bounds_of_parts_count() {
+fn digest_depends_on_the_split_into_parts() {
     let digest = WorkDigest::of(&[b"ab", b"c"]);
     assert_ne!(digest, WorkDigest::of(&[b"a", b"bc"]));
     assert_ne!(digest, WorkDigest::of(&[b"abc"]));
@@ -11,10 +11,10 @@
 }
 
 #[test]
-fn it_is_read_as_it_is_written() {
+fn digest_round_trips_through_text() {
     let digest = WorkDigest::of(&[b"a"]);
     assert_eq!(digest.to_string().len(), 32);
     assert_eq!(digest.to_string().parse(), Ok(digest));
-    let refused = "no digest".parse::<WorkDigest>().expect_err("it is none");
-    assert!(refused.to_string().contains("no digest"), "{refused}");
+    let error = "no digest".parse::<WorkDigest>().expect_err("not a digest");
+    assert!(error.to_string().contains("no digest"), "{error}");
 }
