--- a/crates/pools/src/check.rs
+++ b/crates/pools/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks a pool document before anything is written.
+//! Validation of pool documents before they are written.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -6,23 +6,23 @@
 
 use crate::{PoolSpec, SwapPolicy};
 
-/// Most versions a sample may lag; more is surely a slip of the pen.
-const MAX_BOUND: u32 = 1_000;
-/// Most requests at one engine.
+/// Maximum staleness bound, in versions; larger values are rejected as typing errors.
+const MAX_STALENESS_BOUND: u32 = 1_000;
+/// Maximum value of `limits.per_engine`.
 const MAX_PER_ENGINE: u32 = 4_096;
 
-/// Why a pool document was refused; all faults at once.
+/// Reason why a pool document is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PoolError {
-    /// Not the TOML of a pool.
+    /// The document is not the TOML of a pool.
     #[error("the document is not a pool: {0}")]
     Syntax(String),
-    /// Values that cannot work together.
+    /// Messages for all invalid values.
     #[error("the pool cannot be accepted:\n  {}", .0.join("\n  "))]
     Faults(Vec<String>),
 }
 
-/// Reads and checks a pool written as TOML.
+/// Parses and validates a pool written as TOML.
 pub fn parse_pool(text: &str) -> Result<PoolSpec, PoolError> {
     let spec: PoolSpec =
         toml::from_str(text).map_err(|error| PoolError::Syntax(error.to_string()))?;
@@ -31,11 +31,11 @@
 }
 
 impl PoolSpec {
-    /// Reports every fault at once.
+    /// Validates the values of the pool and reports all faults together.
     pub fn check(&self) -> Result<(), PoolError> {
         let mut faults = Vec::new();
-        let mut require = |holds: bool, fault: &str| {
-            if !holds {
+        let mut require = |is_valid: bool, fault: &str| {
+            if !is_valid {
                 faults.push(fault.to_owned());
             }
         };
@@ -43,7 +43,7 @@
         require(!self.trainers.is_empty(), "`trainers` is empty: name at least one trainer");
         require(!self.engines.is_empty(), "`engines` is empty: name at least one engine");
         require(
-            self.staleness_bound <= MAX_BOUND,
+            self.staleness_bound <= MAX_STALENESS_BOUND,
             "`staleness_bound` is over 1000: give the number of versions a sample may lag",
         );
         require(
@@ -58,14 +58,14 @@
             self.swap != SwapPolicy::Rolling { at_once: 0 },
             "`swap.rolling.at_once` is 0: swap at least one replica at a time",
         );
-        faults.extend(doubles("trainers", &self.trainers));
-        faults.extend(doubles("engines", &self.engines));
-        faults.extend(doubles("scorers", &self.scorers));
+        faults.extend(duplicates("trainers", &self.trainers));
+        faults.extend(duplicates("engines", &self.engines));
+        faults.extend(duplicates("scorers", &self.scorers));
         if faults.is_empty() { Ok(()) } else { Err(PoolError::Faults(faults)) }
     }
 }
 
-fn doubles<T: Ord + Hash + fmt::Display>(field: &str, names: &[T]) -> Vec<String> {
+fn duplicates<T: Ord + Hash + fmt::Display>(field: &str, names: &[T]) -> Vec<String> {
     let mut seen = BTreeSet::new();
     names
         .iter()
--- a/crates/pools/src/fleet.rs
+++ b/crates/pools/src/fleet.rs
@@ -1,31 +1,31 @@
-//! Pools and the document that holds them.
+//! Pools and the document that contains them.
 
 use std::collections::BTreeMap;
 
 use ids::{Generation, ModelVersion, PoolName, TargetId, TrainerId};
 use serde::{Deserialize, Serialize};
 
-/// Which of the two measures a pool gives up last.
+/// Measure that takes priority where a pool cannot satisfy both.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PoolObjective {
-    /// Samples as new as possible, at the price of idle trainers.
+    /// Prefer the newest samples, even if trainers are idle.
     #[default]
     Staleness,
-    /// Trainers as busy as possible, up to the staleness bound.
+    /// Prefer busy trainers, within the staleness bound.
     IdleTime,
 }
 
-/// How a new version reaches the replicas of a failure domain.
+/// How a new version is rolled out to the replicas of a failure domain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum SwapPolicy {
-    /// At most this many replicas at a time.
+    /// A limited number of replicas at a time.
     Rolling {
-        /// Replicas swapping at once, at least one.
+        /// Maximum number of replicas that swap at the same time; at least 1.
         at_once: u32,
     },
-    /// All replicas together.
+    /// All replicas at the same time.
     AllAtOnce,
 }
 
@@ -35,13 +35,13 @@
     }
 }
 
-/// Limits that bind a pool.
+/// Limits on the running requests of a pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PoolLimits {
-    /// Requests at work at one engine.
+    /// Maximum number of running requests at one engine.
     pub per_engine: u32,
-    /// Samples of one trainer at work over all engines.
+    /// Maximum number of running samples of one trainer, over all engines.
     pub per_trainer: u32,
 }
 
@@ -51,62 +51,63 @@
     }
 }
 
-/// One rollout pool.
+/// Configuration of a rollout pool.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PoolSpec {
-    /// The pool's name.
+    /// Name of the pool.
     pub name: PoolName,
-    /// The weight version that engines should hold.
+    /// Weight version that the engines should have loaded.
     pub version: ModelVersion,
-    /// How many versions older than the named one a sample may be.
-    #[serde(default = "default_bound")]
+    /// Maximum age of a sample, in versions before the named one.
+    #[serde(default = "default_staleness_bound")]
     pub staleness_bound: u32,
-    /// Which measure is given up last.
+    /// Measure that takes priority.
     #[serde(default)]
     pub favours: PoolObjective,
     /// Trainers that may open steps.
     pub trainers: Vec<TrainerId>,
     /// Engines of the pool.
     pub engines: Vec<TargetId>,
-    /// Scoring services, tried in turn; none means samples stay unscored.
+    /// Scoring services, tried in order. If empty, samples are not scored.
     #[serde(default)]
     pub scorers: Vec<TargetId>,
-    /// Limits.
+    /// Limits on running requests.
     #[serde(default)]
     pub limits: PoolLimits,
-    /// How versions roll out.
+    /// How new versions are rolled out.
     #[serde(default)]
     pub swap: SwapPolicy,
 }
 
-/// The agency's bound, and the safer one: the named version or the one before it.
-const fn default_bound() -> u32 {
+/// Allows the named version and the one before it.
+const fn default_staleness_bound() -> u32 {
     1
 }
 
-/// A pool as accepted.
+/// An accepted pool.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolEntry {
-    /// The pool.
+    /// Configuration of the pool.
     pub spec: PoolSpec,
-    /// The generation that last changed it.
+    /// Generation of the last change.
     pub changed: Generation,
-    /// Names the write that last changed it, so that a lost answer is resolved by reading back.
+    /// ID of the write that made the last change. If a write gets no response, reading this back
+    /// shows whether it took effect.
     pub write_id: String,
 }
 
-/// Every pool, under one generation.
+/// All pools, under one generation.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetConfig {
-    /// Grows with every accepted change.
+    /// Increases with every accepted change.
     pub generation: Generation,
-    /// The pools by name.
+    /// Pools by name.
     pub pools: BTreeMap<PoolName, PoolEntry>,
 }
 
 impl FleetConfig {
-    /// The next generation, with `spec` added or replaced by the write `write_id`.
+    /// Returns the next generation, in which the write `write_id` adds or replaces `spec`.
     #[must_use]
     pub fn with_pool(&self, spec: PoolSpec, write_id: String) -> Self {
         let generation = self.generation.next();
@@ -116,7 +117,7 @@
         Self { generation, pools }
     }
 
-    /// Only what changed after `base`, for a box that holds that generation.
+    /// Returns only the pools changed after `base`, for a box that has that generation.
     #[must_use]
     pub fn since(&self, base: Generation) -> Self {
         let newer = self.pools.iter().filter(|(_, entry)| entry.changed > base);
@@ -124,7 +125,8 @@
         Self { generation: self.generation, pools }
     }
 
-    /// This document with a later one's changes since this one's generation.
+    /// Returns this document updated with `changes`, the result of [`Self::since`] of a later
+    /// document for this generation.
     #[must_use]
     pub fn with_changes(&self, changes: Self) -> Self {
         let mut pools = self.pools.clone();
@@ -132,12 +134,13 @@
         Self { generation: changes.generation, pools }
     }
 
-    /// One pool.
+    /// Returns the pool `name`.
     pub fn pool(&self, name: &PoolName) -> Option<&PoolSpec> {
         self.pools.get(name).map(|entry| &entry.spec)
     }
 
-    /// The most that any pool lets run at an engine; `None` when no pool uses it.
+    /// Returns the highest `per_engine` limit of the pools that use an engine, or `None` if no pool
+    /// does.
     pub fn engine_limit(&self, engine: &TargetId) -> Option<u32> {
         let users = self.pools.values().filter(|entry| entry.spec.engines.contains(engine));
         users.map(|entry| entry.spec.limits.per_engine).max()
--- a/crates/pools/src/lib.rs
+++ b/crates/pools/src/lib.rs
@@ -1,9 +1,9 @@
-//! Configuration documents and their checks.
+//! Configuration documents and their validation.
 //!
-//! One document, [`FleetConfig`], holds every pool under one generation number that only
-//! grows. Operators write one pool at a time as TOML; every fault in it is reported at once,
-//! each with its remedy, before anything is written. [`TargetList`] is the platform's list of
-//! targets.
+//! [`FleetConfig`] is one document that contains all pools under one generation number, which
+//! never decreases. Operators submit one pool at a time as TOML. Validation reports all errors of
+//! a pool together, each with a remedy, before anything is written. [`TargetList`] is the
+//! platform's list of targets.
 
 mod check;
 mod fleet;
--- a/crates/pools/src/targets.rs
+++ b/crates/pools/src/targets.rs
@@ -7,7 +7,7 @@
 use ids::{DomainId, Generation, ServiceName, TargetId};
 use serde::{Deserialize, Serialize};
 
-/// What a target is.
+/// Kind of a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetKind {
@@ -29,7 +29,7 @@
     }
 }
 
-/// Why a target kind was refused.
+/// A text is not a valid target kind.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("`{0}` is not a target kind: use engine, plain or scorer")]
 pub struct KindError(String);
@@ -47,47 +47,47 @@
     }
 }
 
-/// One target as the platform lists it.
+/// Entry of a target in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetRecord {
-    /// The target.
+    /// ID of the target.
     pub id: TargetId,
     /// Its failure domain.
     pub domain: DomainId,
-    /// What it is.
+    /// Kind of the target.
     pub kind: TargetKind,
-    /// The service it answers for; none for engines.
+    /// Service that the target provides; `None` for engines.
     #[serde(default)]
     pub service: Option<ServiceName>,
-    /// Where it is reached, as `http://ip:port`.
+    /// Address, as `http://ip:port`.
     pub address: String,
-    /// Whether it refuses orders with an old fencing token; unknown counts as not.
+    /// Whether the target refuses orders with an old fencing token; `false` if unknown.
     #[serde(default)]
     pub checks_fencing: bool,
-    /// Whether the platform says that it is leaving.
+    /// Whether the platform reports that the target is leaving.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// The list of targets, under the platform's revision of it.
+/// List of targets with the platform's revision number.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetList {
-    /// The platform's revision; only grows.
+    /// Revision assigned by the platform; never decreases.
     pub revision: Generation,
-    /// The targets.
+    /// Listed targets.
     pub targets: Vec<TargetRecord>,
 }
 
-/// A target list made ready for look-ups, so that a request's cost does not grow with the list.
+/// Target list with indexes, so that lookups take constant time.
 #[derive(Debug, Clone, Default)]
 pub struct TargetIndex {
     list: TargetList,
-    places: HashMap<TargetId, usize>,
+    positions: HashMap<TargetId, usize>,
     services: HashMap<ServiceName, Vec<TargetId>>,
 }
 
 impl TargetIndex {
-    /// Indexes a list.
+    /// Builds the indexes of a list.
     pub fn new(list: TargetList) -> Self {
         let mut services: HashMap<ServiceName, Vec<TargetId>> = HashMap::new();
         for record in list.targets.iter().filter(|record| !record.leaving) {
@@ -95,22 +95,22 @@
                 services.entry(service.clone()).or_default().push(record.id.clone());
             }
         }
-        let ids = list.targets.iter().enumerate();
-        let places = ids.map(|(place, record)| (record.id.clone(), place)).collect();
-        Self { list, places, services }
+        let indexed = list.targets.iter().enumerate();
+        let positions = indexed.map(|(position, record)| (record.id.clone(), position)).collect();
+        Self { list, positions, services }
     }
 
-    /// The list as it came.
+    /// Returns the original list.
     pub const fn list(&self) -> &TargetList {
         &self.list
     }
 
-    /// The record of one target.
+    /// Returns the record of a target.
     pub fn find(&self, id: &TargetId) -> Option<&TargetRecord> {
-        self.list.targets.get(*self.places.get(id)?)
+        self.list.targets.get(*self.positions.get(id)?)
     }
 
-    /// The targets that answer for a service and are not leaving.
+    /// Returns the targets that provide a service and are not leaving.
     pub fn of_service(&self, service: &ServiceName) -> &[TargetId] {
         self.services.get(service).map_or(&[], Vec::as_slice)
     }
--- a/crates/pools/tests/check.rs
+++ b/crates/pools/tests/check.rs
@@ -1,18 +1,18 @@
-//! Pool documents: every fault at once, each with its remedy.
+//! Validation of pool documents, and merging of configuration changes.
 
 use pools::{FleetConfig, parse_pool};
 
-/// Checks what is said of a document.
+/// Compares the result of parsing a document with its snapshot.
 fn check(name: &str, text: &str) {
-    let said = match parse_pool(text) {
+    let report = match parse_pool(text) {
         Ok(spec) => format!("{spec:#?}"),
         Err(error) => error.to_string(),
     };
-    insta::assert_snapshot!(name, said);
+    insta::assert_snapshot!(name, report);
 }
 
 #[test]
-fn a_small_pool_gets_safe_defaults() {
+fn minimal_pool_gets_defaults() {
     check(
         "small",
         "name = 'layout'\nversion = 3\ntrainers = ['press-1']\nengines = ['engine-1']\n",
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn every_fault_is_told_at_once() {
+fn all_faults_are_reported_together() {
     let text = "
 name = 'layout'
 version = 0
@@ -36,20 +36,20 @@
 }
 
 #[test]
-fn an_unknown_field_is_named() {
+fn unknown_field_is_reported() {
     check(
         "unknown",
         "name = 'layout'\nversion = 3\ntrainers = ['a']\nengines = ['b']\nlimit = 4\n",
     );
 }
 
-/// However a box's generations come, changes since its own give it the whole document.
+/// A box at any generation must get the full document from the changes since that generation.
 #[test]
-fn changes_since_a_generation_give_the_whole_document() {
+fn changes_since_a_generation_give_the_full_document() {
     let pool = |index: u64, version: u64| {
         let text =
             format!("name = 'p{index}'\nversion = {version}\ntrainers = ['t']\nengines = ['e']\n");
-        parse_pool(&text).expect("a good pool")
+        parse_pool(&text).expect("a valid pool")
     };
     let mut history = vec![FleetConfig::default()];
     for change in 0..12_u64 {
@@ -57,12 +57,12 @@
         history.push(last.with_pool(pool(change * 7 % 5, change + 1), format!("w{change}")));
     }
     let newest = history.last().expect("never empty");
-    for held in &history {
-        let changes = newest.since(held.generation);
-        assert_eq!(&held.with_changes(changes), newest);
-        // A box that moved on while the changes were under way ends at the same document.
-        for moved_on in history.iter().filter(|later| later.generation >= held.generation) {
-            assert_eq!(&moved_on.with_changes(newest.since(held.generation)), newest);
+    for old in &history {
+        let changes = newest.since(old.generation);
+        assert_eq!(&old.with_changes(changes), newest);
+        // A box that applied a later generation in the meantime must get the same document.
+        for advanced in history.iter().filter(|later| later.generation >= old.generation) {
+            assert_eq!(&advanced.with_changes(newest.since(old.generation)), newest);
         }
     }
 }
