--- a/crates/objects/src/http.rs
+++ b/crates/objects/src/http.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP.
+//! HTTP client of the platform's object API.
 
 use std::time::Duration;
 
@@ -9,39 +9,39 @@
 
 use crate::{ListedObjects, ObjectKey, ObjectKind, ObjectStore, StoreError, StoredObject};
 
-/// Longest wait for an answer; the platform answers in milliseconds when it is well.
+/// Timeout of a call; a healthy platform responds within milliseconds.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Room for the answer of a watch beyond its own wait.
+/// Additional timeout of a watch beyond its own wait time.
 const WATCH_SLACK: Duration = Duration::from_secs(2);
 
-/// The platform at one address.
+/// Client for the platform at one address.
 #[derive(Debug, Clone)]
 pub struct HttpStore {
-    base: String,
+    base_url: String,
     client: Client,
 }
 
 #[derive(Deserialize)]
-struct Written {
+struct WriteResponse {
     version: ObjectVersion,
 }
 
 impl HttpStore {
-    /// The platform at `base`, such as `http://10.0.0.1:7000`.
-    pub fn new(base: &str, client: Client) -> Self {
-        Self { base: base.trim_end_matches('/').to_owned(), client }
+    /// Creates a client for the URL `base_url`, such as `http://10.0.0.1:7000`.
+    pub fn new(base_url: &str, client: Client) -> Self {
+        Self { base_url: base_url.trim_end_matches('/').to_owned(), client }
     }
 
-    fn object(&self, key: &ObjectKey) -> String {
-        format!("{}/v1/objects/{}/{}", self.base, key.kind, key.name)
+    fn object_url(&self, key: &ObjectKey) -> String {
+        format!("{}/v1/objects/{}/{}", self.base_url, key.kind, key.name)
     }
 
-    fn kind(&self, kind: ObjectKind) -> String {
-        format!("{}/v1/objects/{kind}", self.base)
+    fn kind_url(&self, kind: ObjectKind) -> String {
+        format!("{}/v1/objects/{kind}", self.base_url)
     }
 }
 
-/// A failed connection means that nothing was sent; anything later may have taken effect.
+/// If connecting failed, nothing was sent. After any later error the request may have taken effect.
 fn send_error(error: &reqwest::Error) -> StoreError {
     if error.is_connect() { StoreError::Unavailable } else { StoreError::Unknown }
 }
@@ -58,7 +58,7 @@
 
 impl ObjectStore for HttpStore {
     async fn read(&self, key: &ObjectKey) -> Result<Option<StoredObject>, StoreError> {
-        let response = send(self.client.get(self.object(key)), CALL_TIMEOUT).await?;
+        let response = send(self.client.get(self.object_url(key)), CALL_TIMEOUT).await?;
         if response.status() == StatusCode::NOT_FOUND {
             return Ok(None);
         }
@@ -71,8 +71,11 @@
         expect: ObjectVersion,
         value: Value,
     ) -> Result<ObjectVersion, StoreError> {
-        let request =
-            self.client.put(self.object(key)).query(&[("if_version", expect.get())]).json(&value);
+        let request = self
+            .client
+            .put(self.object_url(key))
+            .query(&[("if_version", expect.get())])
+            .json(&value);
         let response = send(request, CALL_TIMEOUT).await?;
         if response.status() == StatusCode::CONFLICT {
             return Err(StoreError::Conflict { key: key.to_string() });
@@ -80,12 +83,12 @@
         if !response.status().is_success() {
             return Err(StoreError::Unknown);
         }
-        let written: Written = response.json().await.map_err(|_lost| StoreError::Unknown)?;
+        let written: WriteResponse = response.json().await.map_err(|_lost| StoreError::Unknown)?;
         Ok(written.version)
     }
 
     async fn list(&self, kind: ObjectKind) -> Result<ListedObjects, StoreError> {
-        let response = send(self.client.get(self.kind(kind)), CALL_TIMEOUT).await?;
+        let response = send(self.client.get(self.kind_url(kind)), CALL_TIMEOUT).await?;
         response.json().await.map_err(|_lost| StoreError::Unknown)
     }
 
@@ -97,7 +100,7 @@
     ) -> Result<ListedObjects, StoreError> {
         let wait_ms = whole_millis(wait);
         let request =
-            self.client.get(self.kind(kind)).query(&[("after", after), ("wait_ms", wait_ms)]);
+            self.client.get(self.kind_url(kind)).query(&[("after", after), ("wait_ms", wait_ms)]);
         let response = send(request, wait + WATCH_SLACK).await?;
         response.json().await.map_err(|_lost| StoreError::Unknown)
     }
--- a/crates/objects/src/lib.rs
+++ b/crates/objects/src/lib.rs
@@ -1,7 +1,7 @@
 //! The platform's object API: versioned objects, conditional updates and watches.
 //!
-//! [`ObjectStore`] is the boundary; [`HttpStore`] speaks to the platform. Errors say whether a
-//! write surely did not take effect, so that callers know when to read back.
+//! [`ObjectStore`] is the interface and [`HttpStore`] its HTTP client. Errors say whether a write
+//! definitely did not take effect; otherwise the caller must read the object again.
 
 mod http;
 mod store;
--- a/crates/objects/src/store.rs
+++ b/crates/objects/src/store.rs
@@ -1,4 +1,4 @@
-//! The boundary to the platform.
+//! Interface to the platform's object store.
 
 use std::fmt;
 use std::time::Duration;
@@ -7,17 +7,17 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// The kinds of object this service reads or writes.
+/// Kinds of objects that this service reads or writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ObjectKind {
-    /// Leases; ours.
+    /// Leases; written by this service.
     Lease,
-    /// Configuration; ours.
+    /// Configuration; written by this service.
     Config,
-    /// Live and leaving boxes; the platform's.
+    /// Live and leaving boxes; written by the platform.
     Box,
-    /// Targets; the platform's.
+    /// Targets; written by the platform.
     Target,
 }
 
@@ -32,17 +32,17 @@
     }
 }
 
-/// Names one object.
+/// Key of an object.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ObjectKey {
-    /// Its kind.
+    /// Kind of the object.
     pub kind: ObjectKind,
-    /// Its name within the kind.
+    /// Name within the kind.
     pub name: String,
 }
 
 impl ObjectKey {
-    /// The key of `name` within `kind`.
+    /// Creates the key of `name` within `kind`.
     pub fn new(kind: ObjectKind, name: impl Into<String>) -> Self {
         Self { kind, name: name.into() }
     }
@@ -54,60 +54,63 @@
     }
 }
 
-/// An object as read.
+/// An object read from the store.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StoredObject {
-    /// Its name within its kind.
+    /// Name within the kind.
     pub name: String,
-    /// The version that a conditional write must name.
+    /// Version that a conditional write must state.
     pub version: ObjectVersion,
-    /// Its value.
+    /// Value as JSON.
     pub value: Value,
 }
 
 /// All objects of a kind.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ListedObjects {
-    /// Grows with every change of any object of the kind.
+    /// Increases with every change of any object of the kind.
     pub revision: u64,
-    /// The objects.
+    /// Objects of the kind.
     pub objects: Vec<StoredObject>,
 }
 
-/// Why a call to the platform failed.
+/// Errors of calls to the platform.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
-    /// The object changed since it was read.
-    #[error("{key} was changed by somebody else: read it again")]
+    /// The object has changed since it was read.
+    #[error("{key} was changed by another writer: read it again")]
     Conflict {
-        /// The object.
+        /// Key of the object.
         key: String,
     },
-    /// The platform was not reached, or refused; nothing took effect.
-    #[error("the platform is unavailable, nothing was written: try again later")]
+    /// The platform was unreachable or refused the call; nothing took effect.
+    #[error("the platform is unavailable and nothing was written: try again later")]
     Unavailable,
-    /// No answer; a write may have taken effect.
-    #[error("the platform did not answer, the write may have taken effect: read it back")]
+    /// No valid response; a write may have taken effect.
+    #[error(
+        "the platform did not respond, so the write may have taken effect: read the object again"
+    )]
     Unknown,
-    /// The value is not what this service writes.
-    #[error("{key} cannot be read: {fault}; mend or delete the object")]
+    /// The value does not have the format that this service writes.
+    #[error("{key} cannot be parsed: {fault}; fix or delete the object")]
     BadValue {
-        /// The object.
+        /// Key of the object.
         key: String,
-        /// What is wrong with it.
+        /// What is wrong with the value.
         fault: String,
     },
 }
 
-/// The platform's object API.
+/// Client interface of the platform's object API.
 pub trait ObjectStore: Clone + Send + Sync + 'static {
-    /// Reads one object; `None` when it is absent.
+    /// Reads an object. Returns `None` if it does not exist.
     fn read(
         &self,
         key: &ObjectKey,
     ) -> impl Future<Output = Result<Option<StoredObject>, StoreError>> + Send;
 
-    /// Writes one object if its version is still `expect`; zero means it must be absent.
+    /// Writes an object if its version is still `expect`; zero means that it must not exist.
+    /// Returns the new version.
     fn write(
         &self,
         key: &ObjectKey,
@@ -115,13 +118,14 @@
         value: Value,
     ) -> impl Future<Output = Result<ObjectVersion, StoreError>> + Send;
 
-    /// Lists a kind.
+    /// Lists all objects of a kind.
     fn list(
         &self,
         kind: ObjectKind,
     ) -> impl Future<Output = Result<ListedObjects, StoreError>> + Send;
 
-    /// Lists a kind once its revision is over `after`, or when `wait` has passed.
+    /// Waits until the revision of a kind exceeds `after`, for at most `wait`, and then lists its
+    /// objects.
     fn watch(
         &self,
         kind: ObjectKind,
