--- a/crates/api/src/error.rs
+++ b/crates/api/src/error.rs
@@ -1,22 +1,23 @@
-//! Refusals as callers see them.
+//! Error responses.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Whether the work ran, and what kind of trouble it met.
+/// Kind of an error, which also says whether the work ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ErrorKind {
-    /// The request is wrong; nothing ran.
+    /// The request is invalid; nothing ran.
     BadRequest,
-    /// The key was not shown or is wrong; nothing ran.
+    /// The key is missing or wrong; nothing ran.
     Forbidden,
-    /// The request conflicts with what is there; nothing ran.
+    /// The request conflicts with the current state; nothing ran.
     Conflict,
-    /// The step is not open at its keeper: open it again with the held slots; nothing ran.
+    /// The step is not open at its keeper and must be opened again with the held slots; nothing
+    /// ran.
     NotOpen,
-    /// The work did not run; come back after the stated time.
+    /// The work did not run and can be retried after the stated time.
     NotRun,
     /// The work may have run.
     Unknown,
@@ -35,20 +36,20 @@
     }
 }
 
-/// The body of every refusal.
+/// Body of every error response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{kind}: {message}")]
 pub struct ErrorBody {
-    /// Whether the work ran.
+    /// Kind of the error, which says whether the work ran.
     pub kind: ErrorKind,
     /// What happened and what to do.
     pub message: String,
-    /// When to come back, in milliseconds; zero means at once.
+    /// Delay before a retry, in milliseconds; zero allows an immediate retry.
     pub retry_after_ms: u64,
 }
 
 impl ErrorBody {
-    /// A refusal that needs no waiting.
+    /// Creates an error without a retry delay.
     pub fn new(kind: ErrorKind, message: impl Into<String>) -> Self {
         Self { kind, message: message.into(), retry_after_ms: 0 }
     }
--- a/crates/api/src/lib.rs
+++ b/crates/api/src/lib.rs
@@ -1,7 +1,7 @@
-//! What trainers, callers and operators send and receive over HTTP, as JSON.
+//! JSON messages that trainers, callers and operators exchange with the service over HTTP.
 //!
-//! Shared by the daemon, the trainer's client library and the command-line tool. Every refusal
-//! is an [`ErrorBody`] that says whether the work ran, what to do, and when to come back.
+//! Shared by the daemon, the client library of trainers and the command-line tool. Every refusal
+//! is an [`ErrorBody`] that says whether the work ran, what to do and when to retry.
 
 mod error;
 mod operator;
@@ -13,11 +13,11 @@
 };
 pub use step::{AdvanceBody, CloseBody, OpenBody, PullBody, PullResponse, StepState};
 
-/// Header that marks a plain request as repeatable (`true`) or not (`false`, the default).
+/// Request header: whether a plain request is repeatable, `true` or `false` (the default).
 pub const REPEATABLE_HEADER: &str = "x-repeatable";
-/// Header that states the time a caller allows, in milliseconds.
+/// Request header: time limit of the caller, in milliseconds.
 pub const DEADLINE_HEADER: &str = "x-deadline-ms";
-/// Header of an answer that carries the digest of its body.
+/// Response header: digest of the response body.
 pub const DIGEST_HEADER: &str = "x-body-digest";
-/// Header that names the request on every hop.
+/// Header that carries the request ID on every hop.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
--- a/crates/api/src/operator.rs
+++ b/crates/api/src/operator.rs
@@ -1,4 +1,4 @@
-//! What operators see.
+//! Messages for operators.
 
 use ids::{
     BoxId, DomainId, FencingToken, Generation, Incarnation, ModelVersion, PoolName, TargetId,
@@ -7,99 +7,99 @@
 use pools::PoolEntry;
 use serde::{Deserialize, Serialize};
 
-/// An accepted change of configuration.
+/// Response to an accepted configuration change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppliedBody {
-    /// The generation that holds it.
+    /// Generation that contains the change.
     pub generation: Generation,
 }
 
-/// All pools in force at the box asked.
+/// Pools in the current configuration of the responding box.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolsBody {
-    /// The generation in force.
+    /// Current generation of the configuration.
     pub generation: Generation,
-    /// The pools.
+    /// Configured pools.
     pub pools: Vec<PoolEntry>,
 }
 
-/// One box as it sees itself.
+/// State of a box, reported by the box itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoxStatus {
-    /// The box.
+    /// ID of the box.
     pub id: BoxId,
-    /// Its failure domain.
+    /// Failure domain of the box.
     pub domain: DomainId,
-    /// Which life of it answers.
+    /// Incarnation of the responding process.
     pub incarnation: Incarnation,
-    /// The configuration generation in force there.
+    /// Current configuration generation of the box.
     pub generation: Generation,
-    /// What readiness waits for; empty when it is ready.
+    /// Conditions that must be met before the box is ready; empty if it is ready.
     pub waits_for: Vec<String>,
-    /// What it cannot do now although it serves; empty when it can do all.
+    /// Functions that are unavailable although the box serves; empty if there are none.
     pub cannot: Vec<String>,
-    /// Boxes it knows.
+    /// Boxes that this box tracks.
     pub peers: Vec<PeerStatus>,
-    /// Trainers whose steps it keeps.
+    /// Trainers of which the box is the keeper.
     pub kept: Vec<KeeperStatus>,
-    /// Targets it is the home of.
+    /// Targets of which the box is the home.
     pub homes: Vec<HomeStatus>,
-    /// Roll-outs it conducts.
+    /// Rollouts that the box coordinates.
     pub rollouts: Vec<RolloutStatus>,
 }
 
-/// A box as another sees it.
+/// State of a box, as observed by another box.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerStatus {
-    /// The box.
+    /// ID of the box.
     pub id: BoxId,
-    /// Its failure domain.
+    /// Failure domain of the box.
     pub domain: DomainId,
     /// `live`, `suspect`, `leaving` or `dead`.
     pub liveness: String,
 }
 
-/// One trainer's steps at their keeper.
+/// Steps of a trainer at their keeper.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeeperStatus {
-    /// The pool.
+    /// Pool of the trainer.
     pub pool: PoolName,
-    /// The trainer.
+    /// ID of the trainer.
     pub trainer: String,
-    /// The keeper's fencing token; zero while it does not act.
+    /// Fencing token of the keeper; zero while it is not active.
     pub token: FencingToken,
-    /// Open steps.
+    /// Numbers of the open steps.
     pub steps: Vec<u64>,
 }
 
-/// A target at its home.
+/// State of a target at its home.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HomeStatus {
-    /// The target.
+    /// ID of the target.
     pub target: TargetId,
-    /// What is known of its weights.
+    /// Last observed state of its weights.
     pub status: ReplicaStatus,
-    /// Requests at work.
+    /// Number of running requests.
     pub running: usize,
-    /// Requests waiting.
+    /// Number of queued requests.
     pub waiting: usize,
-    /// Most requests at work.
+    /// Maximum number of running requests.
     pub limit: usize,
 }
 
-/// A roll-out in one failure domain.
+/// Progress of a rollout in one failure domain.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutStatus {
-    /// The pool.
+    /// Pool of the rollout.
     pub pool: PoolName,
-    /// The version wanted.
+    /// Version that is rolled out.
     pub wanted: ModelVersion,
-    /// Replicas of the pool in the domain.
+    /// Number of replicas of the pool in the domain.
     pub replicas: usize,
-    /// Replicas read to hold it.
+    /// Number of replicas confirmed to have loaded the version.
     pub done: usize,
-    /// Replicas with an order under way.
+    /// Number of replicas with a swap order in flight.
     pub under_way: usize,
-    /// Replicas not read since their last order.
+    /// Number of replicas whose state has not been read since their last order.
     pub in_doubt: usize,
 }
--- a/crates/api/src/step.rs
+++ b/crates/api/src/step.rs
@@ -1,89 +1,89 @@
-//! Steps as trainers open and pull them.
+//! Messages with which trainers open, pull, advance and close steps.
 
 use ids::{FencingToken, ModelVersion, StepNumber};
 use ledger::{GroupSpec, PoolRule, Progress, Sample, SlotSet, StepSpec};
 use serde::{Deserialize, Serialize};
 
-/// Opens a step, or opens it again at a new keeper.
+/// Request to open a step, or to open it again at a new keeper.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OpenBody {
-    /// The weight version the trainer names.
+    /// Weight version that the trainer names.
     pub version: ModelVersion,
-    /// The groups.
+    /// Groups of samples to generate.
     pub groups: Vec<GroupSpec>,
-    /// Slots the trainer holds already.
+    /// Slots whose samples the trainer already has.
     #[serde(default)]
     pub held: SlotSet,
-    /// Highest fencing token the trainer has seen.
+    /// Highest fencing token that the trainer has seen.
     #[serde(default)]
     pub seen: FencingToken,
 }
 
 impl OpenBody {
-    /// The step of this body.
+    /// Returns the specification of the step with number `step`.
     pub fn spec(&self, step: StepNumber) -> StepSpec {
         StepSpec { step, version: self.version, groups: self.groups.clone() }
     }
 }
 
-/// Pulls finished samples.
+/// Request for finished samples.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PullBody {
-    /// Slots the trainer holds.
+    /// Slots whose samples the trainer has.
     pub held: SlotSet,
-    /// Highest fencing token the trainer has seen.
+    /// Highest fencing token that the trainer has seen.
     pub seen: FencingToken,
-    /// Most samples in the answer.
+    /// Maximum number of samples in the response.
     pub most: u32,
-    /// Longest wait for the first sample, in milliseconds.
+    /// Maximum wait for the first sample, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// Names a newer version for an open step.
+/// Request to name a newer weight version for an open step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AdvanceBody {
-    /// The version now named.
+    /// Version to name.
     pub version: ModelVersion,
-    /// Highest fencing token the trainer has seen.
+    /// Highest fencing token that the trainer has seen.
     #[serde(default)]
     pub seen: FencingToken,
 }
 
-/// Says what the trainer holds, to close a step.
+/// Request to close a step.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CloseBody {
-    /// Slots the trainer holds.
+    /// Slots whose samples the trainer has.
     #[serde(default)]
     pub held: SlotSet,
-    /// Highest fencing token the trainer has seen.
+    /// Highest fencing token that the trainer has seen.
     #[serde(default)]
     pub seen: FencingToken,
 }
 
-/// A step as its keeper sees it.
+/// State of a step at its keeper.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepState {
-    /// The keeper's fencing token.
+    /// Fencing token of the keeper.
     pub token: FencingToken,
-    /// The version now named.
+    /// Currently named version.
     pub named: ModelVersion,
-    /// The pool's rule in force at the keeper.
+    /// Current pool rule at the keeper.
     pub rule: PoolRule,
-    /// Counts of the slots, and why the trainer waits.
+    /// Slot counts, and the reason why the trainer waits.
     pub progress: Progress,
-    /// The box that keeps the step.
+    /// Box that is the keeper of the step.
     pub keeper: String,
 }
 
-/// The answer to a pull.
+/// Response to a [`PullBody`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PullResponse {
-    /// Samples, lowest slot first.
+    /// Samples in ascending order of slots.
     pub samples: Vec<Sample>,
-    /// The step's state when they were handed out.
+    /// State of the step when the samples were pulled.
     pub state: StepState,
 }
