--- a/crates/links/src/pool.rs
+++ b/crates/links/src/pool.rs
@@ -177,7 +177,7 @@
             return None;
         };
         let me = &self.settings.me;
-        let mac = self.settings.key.prove(&challenge.nonce, me);
+        let mac = self.settings.key.sign_challenge(&challenge.nonce, me);
         let response = ChallengeResponse { box_id: me.to_string(), mac };
         transport
             .send(Frame { call: 0, body: Some(Body::ChallengeResponse(response)) })
--- a/crates/links/tests/responses.rs
+++ b/crates/links/tests/responses.rs
@@ -22,11 +22,11 @@
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn key(text: &str) -> DeploymentKey {
-    DeploymentKey::new(text).expect("long enough")
+    DeploymentKey::new(text).expect("valid key")
 }
 
 fn pool(secret: &str) -> LinkPool {
-    let me: BoxId = "box-1".parse().expect("an id");
+    let me: BoxId = "box-1".parse().expect("valid ID");
     LinkPool::new(LinkSettings { me, key: key(secret) }, CancellationToken::new())
 }
 
@@ -76,8 +76,8 @@
 }
 
 async fn echo_server() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("it is bound");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds a free port");
+    let address = listener.local_addr().expect("listener is bound");
     let stop = CancellationToken::new();
     tokio::spawn(serve_links(listener, key("the-right-key-123"), EchoHandler, stop));
     address
@@ -127,8 +127,8 @@
 
 #[tokio::test]
 async fn connection_refused_means_not_sent() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("it is bound").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds a free port");
+    let address = listener.local_addr().expect("listener is bound").to_string();
     drop(listener);
     let error =
         pool("the-right-key-123").call(&address, request("r")).await.expect_err("no listener");
@@ -138,16 +138,16 @@
 /// Starts a server that responds to its first call with the frames returned by `script`, then
 /// closes the connection.
 async fn scripted_server(script: impl Fn(u64) -> Vec<Frame> + Send + 'static) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("it is bound");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds a free port");
+    let address = listener.local_addr().expect("listener is bound");
     tokio::spawn(async move {
-        let (stream, _) = listener.accept().await.expect("a peer");
+        let (stream, _) = listener.accept().await.expect("accepts a peer");
         let mut transport: Framed<TcpStream, FrameCodec> =
             Framed::new(stream, FrameCodec::default());
         let challenge = Body::Challenge(Challenge { nonce: vec![1; 16] });
         transport.send(Frame { call: 0, body: Some(challenge) }).await.expect("sent");
-        transport.next().await.expect("a challenge response").expect("a frame");
-        let call = transport.next().await.expect("a request").expect("a frame").call;
+        transport.next().await.expect("receives a challenge response").expect("valid frame");
+        let call = transport.next().await.expect("receives a request").expect("valid frame").call;
         for frame in script(call) {
             transport.send(frame).await.expect("sent");
         }
@@ -219,15 +219,15 @@
 /// A frozen peer, which accepts the connection but reads nothing, must not block its callers.
 #[tokio::test]
 async fn peer_that_reads_nothing_does_not_block_its_callers() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("it is bound").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds a free port");
+    let address = listener.local_addr().expect("listener is bound").to_string();
     let frozen = tokio::spawn(async move {
-        let (stream, _) = listener.accept().await.expect("a peer");
+        let (stream, _) = listener.accept().await.expect("accepts a peer");
         let mut transport: Framed<TcpStream, FrameCodec> =
             Framed::new(stream, FrameCodec::default());
         let challenge = Body::Challenge(Challenge { nonce: vec![1; 16] });
         transport.send(Frame { call: 0, body: Some(challenge) }).await.expect("sent");
-        transport.next().await.expect("a challenge response").expect("a frame");
+        transport.next().await.expect("receives a challenge response").expect("valid frame");
         std::future::pending::<()>().await;
     });
     let pool = pool("the-right-key-123");
--- a/crates/links/tests/unresponsive_links.rs
+++ b/crates/links/tests/unresponsive_links.rs
@@ -23,8 +23,8 @@
 const KEY: &str = "the-right-key-123";
 
 fn pool() -> LinkPool {
-    let me: BoxId = "box-1".parse().expect("an id");
-    let key = DeploymentKey::new(KEY).expect("long enough");
+    let me: BoxId = "box-1".parse().expect("valid ID");
+    let key = DeploymentKey::new(KEY).expect("valid key");
     LinkPool::new(LinkSettings { me, key }, CancellationToken::new())
 }
 
@@ -55,11 +55,11 @@
 
 /// Starts a server behind a fault-injecting proxy.
 async fn proxied_server() -> FaultProxy {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let target: SocketAddr = listener.local_addr().expect("it is bound");
-    let key = DeploymentKey::new(KEY).expect("long enough");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds a free port");
+    let target: SocketAddr = listener.local_addr().expect("listener is bound");
+    let key = DeploymentKey::new(KEY).expect("valid key");
     tokio::spawn(serve_links(listener, key, TestHandler, CancellationToken::new()));
-    let proxy = FaultProxy::start().await.expect("a free port");
+    let proxy = FaultProxy::start().await.expect("binds a free port");
     proxy.aim(target);
     proxy
 }
@@ -95,8 +95,9 @@
         let (pool, proxy) = (pool(), proxied_server().await);
         call(&pool, &proxy, "first").await.expect("responds");
         proxy.change(add_fault);
-        let lost =
-            time::timeout(TEST_TIMEOUT, call(&pool, &proxy, "second")).await.expect("in time");
+        let lost = time::timeout(TEST_TIMEOUT, call(&pool, &proxy, "second"))
+            .await
+            .expect("completes in time");
         assert_eq!(lost.expect_err("lost"), CallError::LinkLost);
         call(&pool, &proxy, "third").await.expect("responds on a new connection");
     }
@@ -112,7 +113,8 @@
     };
     call(&pool, &proxy, "behind it").await.expect("responds");
     proxy.silence();
-    let lost = time::timeout(TEST_TIMEOUT, waiting).await.expect("in time").expect("no panic");
+    let lost =
+        time::timeout(TEST_TIMEOUT, waiting).await.expect("completes in time").expect("no panic");
     assert_eq!(lost.expect_err("lost"), CallError::LinkLost);
 }
 
@@ -122,8 +124,9 @@
         let (pool, proxy) = (pool(), proxied_server().await);
         query_served(&pool, &proxy).await.expect("responds");
         proxy.change(add_fault);
-        let response =
-            time::timeout(TEST_TIMEOUT, query_served(&pool, &proxy)).await.expect("in time");
+        let response = time::timeout(TEST_TIMEOUT, query_served(&pool, &proxy))
+            .await
+            .expect("completes in time");
         assert!(matches!(response, Ok(shard_response::Body::Heartbeat(_))), "{response:?}");
     }
 }
--- a/crates/wire/src/auth.rs
+++ b/crates/wire/src/auth.rs
@@ -35,8 +35,8 @@
         Ok(Self(Arc::from(bytes)))
     }
 
-    /// Returns the MAC with which `box_id` responds to the challenge `nonce`.
-    pub fn prove(&self, nonce: &[u8], box_id: &BoxId) -> Vec<u8> {
+    /// Returns the MAC that authenticates `box_id` in response to the challenge `nonce`.
+    pub fn sign_challenge(&self, nonce: &[u8], box_id: &BoxId) -> Vec<u8> {
         self.mac(nonce, box_id).finalize().into_bytes().to_vec()
     }
 
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -35,7 +35,7 @@
             let mut bytes = BytesMut::new();
             let mut codec = FrameCodec::default();
             for call in 0..count {
-                codec.encode(frame(call, "x"), &mut bytes).expect("a small frame");
+                codec.encode(frame(call, "x"), &mut bytes).expect("frame fits");
             }
             let len = u.choose_index(bytes.len())?;
             bytes.truncate(len);
@@ -56,7 +56,7 @@
 #[test]
 fn oversized_frame_is_rejected_before_it_is_read() {
     let mut bytes = BytesMut::new();
-    bytes.put_u32(u32::try_from(MAX_FRAME).expect("it fits") + 1);
+    bytes.put_u32(u32::try_from(MAX_FRAME).expect("fits in u32") + 1);
     FrameCodec::default().decode(&mut bytes).unwrap_err();
 }
 
@@ -85,10 +85,10 @@
 
 #[test]
 fn only_the_same_key_verifies_and_debug_hides_it() {
-    let key = DeploymentKey::new("a-key-of-sixteen-bytes").expect("long enough");
-    let other = DeploymentKey::new("another-key-of-bytes!!").expect("long enough");
-    let me: BoxId = "box-1".parse().expect("an id");
-    let mac = key.prove(b"nonce", &me);
+    let key = DeploymentKey::new("a-key-of-sixteen-bytes").expect("valid key");
+    let other = DeploymentKey::new("another-key-of-bytes!!").expect("valid key");
+    let me: BoxId = "box-1".parse().expect("valid ID");
+    let mac = key.sign_challenge(b"nonce", &me);
     assert!(key.verify(b"nonce", &me, &mac));
     assert!(!other.verify(b"nonce", &me, &mac));
     assert!(!key.verify(b"other", &me, &mac));
