--- a/crates/xtask/src/mutate.rs
+++ b/crates/xtask/src/mutate.rs
@@ -131,9 +131,9 @@
     },
     Mutation {
         name: "4: an answer's end is not checked",
-        file: "crates/wire/src/tally.rs",
-        from: "if whole { Ok(()) }",
-        to: "if whole || true { Ok(()) }",
+        file: "crates/wire/src/checksum.rs",
+        from: "if equal { Ok(()) }",
+        to: "if equal || true { Ok(()) }",
         package: "links",
         test: "is_an_error",
     },
@@ -379,11 +379,11 @@
     },
     Mutation {
         name: "platform: a silent link counts as one that rests",
-        file: "crates/links/src/pulse.rs",
-        from: "if now >= pong_by { PulseStep::Dead }",
-        to: "if now >= pong_by { PulseStep::Rested }",
+        file: "crates/links/src/liveness.rs",
+        from: "if now >= pong_by { LinkAction::Dead }",
+        to: "if now >= pong_by { LinkAction::Idle }",
         package: "links",
-        test: "silent_link",
+        test: "unresponsive_link",
     },
     Mutation {
         name: "platform: kept connections are used after a silent one",
