--- a/crates/gannetwayd/src/peer.rs
+++ b/crates/gannetwayd/src/peer.rs
@@ -85,13 +85,13 @@
         }
     }
 
-    async fn handle_heartbeat(&self, beat: BoxHeartbeat) {
-        let generations = parse_id(&beat.box_id).map(|peer| PeerGenerations {
+    async fn handle_heartbeat(&self, heartbeat: BoxHeartbeat) {
+        let generations = parse_id(&heartbeat.box_id).map(|peer| PeerGenerations {
             peer,
-            config: ids::Generation::new(beat.config_generation),
-            targets: ids::Generation::new(beat.targets_revision),
+            config: ids::Generation::new(heartbeat.config_generation),
+            targets: ids::Generation::new(heartbeat.targets_revision),
         });
-        let heartbeat = match heartbeat_from_wire(beat) {
+        let heartbeat = match heartbeat_from_wire(heartbeat) {
             Ok(heartbeat) => heartbeat,
             Err(error) => {
                 log::warn!(target: "members", error:% = error; "invalid heartbeat ignored");
