--- a/crates/gannetctl/src/cli.rs
+++ b/crates/gannetctl/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line arguments.
 
 use std::fs;
 use std::path::PathBuf;
@@ -12,14 +12,14 @@
 
 use crate::exit::CliError;
 
-/// Applies configuration, looks at boxes, runs steps and sends plain requests.
+/// Applies pool configuration, shows the state of boxes, runs steps and sends plain requests.
 ///
-/// Exit codes: 0 done; 1 broken off, the work may have run; 2 bad input; 3 conflict with
-/// another change; 4 not run; 5 the step's samples are not each there once.
+/// Exit codes: 0 success; 1 no complete response, the work may have run; 2 bad input;
+/// 3 conflict with another change; 4 not run; 5 the step has missing or duplicate samples.
 #[derive(Debug, Parser)]
 #[command(name = "gannetctl", version)]
 pub struct Cli {
-    /// Entry boxes or their balancer, as http://IP:PORT, separated by commas.
+    /// Addresses of the entry boxes or their load balancer, as http://IP:PORT, comma-separated.
     #[arg(
         long,
         env = "GANNETWAY_ENTRY",
@@ -28,58 +28,58 @@
         global = true
     )]
     pub entry: Vec<String>,
-    /// File that holds the deployment's key; needed by apply, get, list and status.
+    /// File that contains the deployment's key; required by apply, get, list and status.
     #[arg(long, env = "GANNETWAY_KEY_FILE", global = true)]
     pub key_file: Option<PathBuf>,
-    /// Tables for people, or JSON for programs.
+    /// Output format: human-readable tables or JSON.
     #[arg(long, env = "GANNETWAY_OUTPUT", default_value = "table", global = true)]
     pub output: Output,
-    /// How long a request that may be repeated is tried, in milliseconds.
+    /// Total time for retries of a repeatable request, in milliseconds.
     #[arg(long, env = "GANNETWAY_PATIENCE_MS", default_value_t = 30_000, global = true)]
     pub patience_ms: u64,
-    /// What to do.
+    /// The command to run.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// The form of what is printed.
+/// Output format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Output {
-    /// For people.
+    /// Human-readable tables.
     Table,
-    /// For programs.
+    /// JSON.
     Json,
 }
 
-/// What to do.
+/// Subcommands of `gannetctl`.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Adds or replaces a pool from a TOML document.
+    /// Creates or replaces a pool from a TOML document.
     Apply(ApplyArgs),
     /// Shows one pool.
     Get(GetArgs),
-    /// Lists the pools in force.
+    /// Lists the current pools.
     List,
-    /// Shows each entry box: peers, steps kept, homes, roll-outs.
+    /// Shows the state of an entry box: peers, keepers and their steps, homes, rollouts.
     Status,
-    /// Opens a step and pulls it, as a trainer would.
+    /// Opens a step and pulls all of its samples, as a trainer does.
     Step(StepArgs),
     /// Sends a plain request to a service.
     Call(CallArgs),
-    /// Tells what the boxes' logs say of a request, a job or an item.
+    /// Shows the log lines of all boxes about a request, a job, an item or a piece of work.
     Explain(ExplainArgs),
-    /// Tells what the trainers waited for, step by step, from the keeping boxes' logs.
+    /// Shows what trainers waited for in each step, from the logs of storage boxes.
     Steps(StepsArgs),
-    /// Tells the reports of customers' use, window by window, from the keeping boxes' logs.
+    /// Shows the usage report of each window, from the logs of storage boxes.
     Usage(UsageArgs),
 }
 
 /// Arguments of `explain`.
 #[derive(Debug, Args)]
 pub struct ExplainArgs {
-    /// Id of a request, a job or an item.
+    /// Id of a request, a job, an item or a piece of work.
     pub id: String,
-    /// Logs of boxes, as they were written to standard output.
+    /// Log files of boxes (their standard output).
     #[arg(required = true)]
     pub files: Vec<PathBuf>,
 }
@@ -87,13 +87,13 @@
 /// Arguments of `steps`.
 #[derive(Debug, Args)]
 pub struct StepsArgs {
-    /// Logs of boxes, as they were written to standard output.
+    /// Log files of boxes (their standard output).
     #[arg(required = true)]
     pub files: Vec<PathBuf>,
-    /// Only steps of this model.
+    /// Shows only the steps of this model.
     #[arg(long)]
     pub model: Option<ModelName>,
-    /// Draws the steps, a bar each, into this SVG file.
+    /// Writes a bar chart of the steps to this SVG file.
     #[arg(long)]
     pub picture: Option<PathBuf>,
 }
@@ -101,7 +101,7 @@
 /// Arguments of `usage`.
 #[derive(Debug, Args)]
 pub struct UsageArgs {
-    /// Logs of boxes, as they were written to standard output.
+    /// Log files of boxes (their standard output).
     #[arg(required = true)]
     pub files: Vec<PathBuf>,
 }
@@ -109,12 +109,12 @@
 /// Arguments of `apply`.
 #[derive(Debug, Args)]
 pub struct ApplyArgs {
-    /// The TOML document.
+    /// TOML document that describes the pool.
     pub file: PathBuf,
-    /// Refuses when the pool was changed after this generation.
+    /// Fails if the pool was changed after this generation.
     #[arg(long)]
     pub if_generation: Option<Generation>,
-    /// Only checks the document.
+    /// Validates the document without applying it.
     #[arg(long)]
     pub check: bool,
 }
@@ -122,32 +122,32 @@
 /// Arguments of `get`.
 #[derive(Debug, Args)]
 pub struct GetArgs {
-    /// The pool.
+    /// Name of the pool.
     pub pool: PoolName,
 }
 
 /// Arguments of `step`.
 #[derive(Debug, Args)]
 pub struct StepArgs {
-    /// The pool.
+    /// Name of the pool.
     #[arg(long)]
     pub pool: PoolName,
-    /// The trainer.
+    /// Id of the trainer.
     #[arg(long)]
     pub trainer: TrainerId,
-    /// The step's number.
+    /// Number of the step.
     #[arg(long, default_value = "1")]
     pub step: StepNumber,
-    /// The version the trainer names.
+    /// Weight version that the trainer names.
     #[arg(long, default_value = "1")]
     pub version: ModelVersion,
-    /// Samples in the step.
+    /// Number of samples in the step.
     #[arg(long, default_value_t = 64)]
     pub samples: u32,
-    /// Samples of each group.
+    /// Number of samples per group.
     #[arg(long, default_value_t = 8)]
     pub group: u16,
-    /// Longest answer, in tokens.
+    /// Maximum response length, in tokens.
     #[arg(long, default_value = "512")]
     pub max_tokens: TokenCount,
 }
@@ -155,29 +155,29 @@
 /// Arguments of `call`.
 #[derive(Debug, Args)]
 pub struct CallArgs {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// Path and query at the service, with the leading slash.
+    /// Path and query of the request, with a leading slash.
     pub path: String,
     /// HTTP method.
     #[arg(long, default_value = "POST")]
     pub method: String,
-    /// Body.
+    /// Request body.
     #[arg(long, default_value = "")]
     pub body: String,
-    /// Asking twice does no harm, so the request may be repeated.
+    /// Marks the request as idempotent, so that boxes may repeat it.
     #[arg(long)]
     pub repeatable: bool,
-    /// Names the request; the same on every hop.
+    /// Request id, the same on every hop; random by default.
     #[arg(long)]
     pub request_id: Option<String>,
-    /// Time allowed, in milliseconds.
+    /// Deadline of the request, in milliseconds.
     #[arg(long, default_value_t = 10_000)]
     pub deadline_ms: u64,
 }
 
 impl Cli {
-    /// A client for the entry boxes named.
+    /// Returns a client for the given entry boxes.
     pub fn entry_client(&self) -> Result<EntryClient, CliError> {
         Ok(EntryClient::new(EntrySettings {
             entries: self.entry.clone(),
@@ -191,7 +191,7 @@
         let read = fs::read_to_string(path);
         read.map(Some).map_err(|error| {
             CliError::BadInput(format!(
-                "--key-file {}: {error}; name a readable file",
+                "--key-file {}: {error}; specify a readable file",
                 path.display()
             ))
         })
--- a/crates/gannetctl/src/commands.rs
+++ b/crates/gannetctl/src/commands.rs
@@ -1,4 +1,4 @@
-//! What changes something.
+//! Commands that apply configuration, run steps or send requests.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -18,24 +18,24 @@
 use crate::exit::CliError;
 use crate::output::{Table, print};
 
-/// Checks a pool document and applies it.
+/// Validates a pool document and applies it.
 pub async fn apply(entry: &EntryClient, args: ApplyArgs, output: Output) -> Result<(), CliError> {
     let text = fs::read_to_string(&args.file).map_err(|error| {
-        CliError::BadInput(format!("{}: {error}; name a readable file", args.file.display()))
+        CliError::BadInput(format!("{}: {error}; specify a readable file", args.file.display()))
     })?;
     let spec = parse_pool(&text).map_err(|error| CliError::BadInput(error.to_string()))?;
     if args.check {
         println!("pool {} can be applied", spec.name);
         return Ok(());
     }
-    // Named here, so that trying again after a lost answer is harmless.
+    // All retries carry the same id, so a retry after a lost response does not apply twice.
     let write_id = format!("w{:032x}", rand::rng().random::<u128>());
-    let unless_changed =
+    let generation_condition =
         args.if_generation.map(|generation| format!("&if_generation={generation}"));
     let path = format!(
         "/v1/pools/{}?write_id={write_id}{}",
         spec.name,
-        unless_changed.unwrap_or_default()
+        generation_condition.unwrap_or_default()
     );
     let applied: AppliedBody =
         entry.repeat(&Method::PUT, &path, Some(&spec), Duration::ZERO).await?;
@@ -51,7 +51,7 @@
     Ok(())
 }
 
-/// What a step brought, for people and programs.
+/// Result of a step, as printed.
 #[derive(Debug, Serialize)]
 struct StepReport {
     slots: usize,
@@ -59,9 +59,9 @@
     doubled: usize,
     missing: usize,
     stale: usize,
-    /// Tokens by version.
+    /// Number of tokens by weight version.
     versions: BTreeMap<ModelVersion, u64>,
-    /// Most versions that a sample lagged behind the one named when it was taken.
+    /// Maximum number of versions that an accepted sample was behind the named version.
     oldest_staleness: u64,
     reopened: usize,
     idle_ms: u64,
@@ -70,14 +70,14 @@
     took_ms: u64,
 }
 
-/// Opens a step and pulls it until it is whole.
+/// Opens a step and pulls samples until it is complete.
 pub async fn step(entry: EntryClient, args: StepArgs, output: Output) -> Result<(), CliError> {
     let spec = step_spec(&args)?;
     let started = Instant::now();
     let trainer = TrainerClient::new(Arc::new(entry), args.pool, args.trainer);
     let mut open = trainer.open(spec).await?;
     let slots = open.intake().spec().slots();
-    let mut tally = StepTally::default();
+    let mut tally = SampleTally::default();
     while let Some(samples) = open.next().await? {
         let named = open.intake().named();
         for sample in &samples {
@@ -88,8 +88,8 @@
     let took_ms = whole_millis(started.elapsed());
     let report = tally.report(slots, &idle, took_ms);
     print(output, &report, || step_table(&report));
-    if report.missing > 0 || tally.doubled > 0 {
-        return Err(CliError::NotWhole { missing: report.missing, doubled: tally.doubled });
+    if report.missing > 0 || tally.duplicates > 0 {
+        return Err(CliError::Incomplete { missing: report.missing, duplicates: tally.duplicates });
     }
     Ok(())
 }
@@ -97,8 +97,8 @@
 fn step_spec(args: &StepArgs) -> Result<StepSpec, CliError> {
     let group = u32::from(args.group);
     if group == 0 || !args.samples.is_multiple_of(group) {
-        let fault = format!("--samples {} is no multiple of --group {group}", args.samples);
-        return Err(CliError::BadInput(format!("{fault}: make it one")));
+        let problem = format!("--samples {} is not a multiple of --group {group}", args.samples);
+        return Err(CliError::BadInput(format!("{problem}: specify a multiple")));
     }
     let groups = (0..args.samples / group).map(|index| GroupSpec {
         prompt: format!("{}/{} prompt {index}", args.trainer, args.step).into(),
@@ -110,19 +110,19 @@
     Ok(spec)
 }
 
-/// Counts what the client library gave, apart from the library's own record.
+/// Counts the samples that the client library returns, independently of the library's own state.
 #[derive(Debug, Default)]
-struct StepTally {
+struct SampleTally {
     slots: SlotSet,
-    doubled: usize,
+    duplicates: usize,
     versions: BTreeMap<ModelVersion, u64>,
     oldest_staleness: u64,
 }
 
-impl StepTally {
+impl SampleTally {
     fn count(&mut self, sample: &Sample, named: ModelVersion) {
         if !self.slots.insert(sample.slot) {
-            self.doubled += 1;
+            self.duplicates += 1;
         }
         for span in &sample.spans {
             *self.versions.entry(span.version).or_default() += u64::from(span.tokens.get());
@@ -135,7 +135,7 @@
         StepReport {
             slots,
             delivered: self.slots.len(),
-            doubled: self.doubled,
+            doubled: self.duplicates,
             missing: slots - self.slots.len(),
             stale: idle.stale,
             versions: self.versions.clone(),
@@ -174,7 +174,7 @@
     table
 }
 
-/// A service's answer.
+/// Response of a service, as printed.
 #[derive(Debug, Serialize)]
 struct CallReport {
     status: u16,
@@ -182,10 +182,13 @@
     body: String,
 }
 
-/// Sends a plain request once; the boxes repeat it only if it was marked repeatable.
+/// Sends a plain request once; boxes repeat it only if it is marked repeatable.
 pub async fn call(entries: &[String], args: CallArgs, output: Output) -> Result<(), CliError> {
     let method = Method::from_bytes(args.method.as_bytes()).map_err(|_bad| {
-        CliError::BadInput(format!("--method {} is no HTTP method: use GET or POST", args.method))
+        CliError::BadInput(format!(
+            "--method {} is not an HTTP method: use GET or POST",
+            args.method
+        ))
     })?;
     let entry = entries.first().ok_or(ClientError::NoEntry)?;
     let url = format!("{}/v1/call/{}{}", entry.trim_end_matches('/'), args.service, args.path);
@@ -207,15 +210,16 @@
         }
     })?;
     let status = response.status().as_u16();
-    let stated = response.headers().get(api::DIGEST_HEADER).and_then(|value| value.to_str().ok());
-    let stated: Option<ContentDigest> = stated.and_then(|text| text.parse().ok());
+    let stated_digest =
+        response.headers().get(api::DIGEST_HEADER).and_then(|value| value.to_str().ok());
+    let stated_digest: Option<ContentDigest> = stated_digest.and_then(|text| text.parse().ok());
     let body = response.bytes().await.map_err(|error| ClientError::Broken(error.to_string()))?;
-    match stated {
+    match stated_digest {
         Some(digest) if digest == ContentDigest::of(&body) => {}
         Some(_) => {
             return Err(ClientError::Broken("the body does not match its digest".to_owned()).into());
         }
-        // Only answers of services bear a digest; all else is a box's own refusal.
+        // Only service responses carry a digest; a response without one is a box's own refusal.
         None => {
             let refusal: ErrorBody = serde_json::from_slice(&body)
                 .map_err(|error| ClientError::Broken(error.to_string()))?;
--- a/crates/gannetctl/src/exit.rs
+++ b/crates/gannetctl/src/exit.rs
@@ -1,35 +1,37 @@
-//! How the tool ends.
+//! Errors of the tool and their exit codes.
 
 use std::process::ExitCode;
 
 use api::ErrorKind;
 use client::ClientError;
 
-/// Why the tool did not do what was asked.
+/// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CliError {
-    /// The input cannot be used; nothing was sent.
+    /// The input is invalid; nothing was sent.
     #[error("{0}")]
     BadInput(String),
-    /// The boxes did not do it.
+    /// The request to the entry boxes failed.
     #[error(transparent)]
     Client(#[from] ClientError),
-    /// Samples are missing or came twice.
-    #[error("the step is not whole: {missing} missing, {doubled} doubled; pull it again")]
-    NotWhole {
-        /// Slots without a sample.
+    /// The step has missing or duplicate samples.
+    #[error(
+        "the step is incomplete: {missing} samples missing, {duplicates} duplicated; pull it again"
+    )]
+    Incomplete {
+        /// Number of slots without a sample.
         missing: usize,
-        /// Samples that came twice.
-        doubled: usize,
+        /// Number of samples received more than once.
+        duplicates: usize,
     },
 }
 
 impl CliError {
-    /// The exit code, as documented in `gannetctl --help`.
+    /// Returns the exit code, as documented in `gannetctl --help`.
     pub fn exit_code(&self) -> ExitCode {
         let code = match self {
             Self::BadInput(_) => 2,
-            Self::NotWhole { .. } => 5,
+            Self::Incomplete { .. } => 5,
             Self::Client(ClientError::NoEntry) => 4,
             Self::Client(ClientError::Broken(_)) => 1,
             Self::Client(ClientError::Refused(refusal)) => match refusal.kind {
--- a/crates/gannetctl/src/explain.rs
+++ b/crates/gannetctl/src/explain.rs
@@ -1,8 +1,8 @@
-//! From an id to its cause: the lines of many boxes' logs that concern it, in order of time.
+//! `explain`: collects the log lines of all boxes that concern an id, in order of time.
 //!
-//! A line concerns an id if one of its fields is that id. An item leads on to its job, and a job to
-//! its shard, whose changes of server are told for the time in which the job's lines lie. A request that failed
-//! at a target leads on to its work, of which it is told under which other ids it ended targets before.
+//! A line concerns an id if one of its id fields has that value. Related lines are included: for
+//! an item those of its job; for a job the server changes of its shard around that time; for a
+//! request that failed at a target the crashes and suspicions of the same work under other ids.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -13,10 +13,10 @@
 
 use crate::cli::{ExplainArgs, Output};
 use crate::exit::CliError;
-use crate::log_lines::{FileSpan, LogLine, each_line, unreadable};
+use crate::log_lines::{FileSpan, LogLine, each_line, unreadable_file};
 use crate::output::{Table, print};
 
-/// Events that tell who serves a shard.
+/// Events about which box serves a shard.
 const SHARD_EVENTS: [&str; 5] = [
     "serving",
     "not serving",
@@ -24,89 +24,96 @@
     "takeover failed",
     "copy did not accept the append",
 ];
-/// Events that tell what is believed of a piece of work, at any time.
+/// Events about the suspicion of a piece of work; included regardless of their time.
 const WORK_EVENTS: [&str; 4] =
     ["target probed", "work under suspicion", "work refused", "suspicion cleared"];
-/// Seconds before and after a job's own lines in which its shard's changes are told.
-const AROUND_S: f64 = 5.0;
+/// Shard events are included up to this time before the first and after the last line about the
+/// id, in seconds.
+const SHARD_EVENT_MARGIN_S: f64 = 5.0;
 
 #[derive(Debug, Serialize)]
 struct Explanation {
     id: String,
     lines: Vec<LogLine>,
-    /// The last line about the id itself which says how something ended.
+    /// The last line about the id itself that has an outcome or a reason.
     deciding: Option<LogLine>,
     read: Vec<FileSpan>,
 }
 
-/// Tells what the logs say of an id.
+/// Prints the log lines that concern an id.
 pub fn explain(args: &ExplainArgs, output: Output) -> Result<(), CliError> {
-    let explanation = collect(args).map_err(|(file, error)| unreadable(&file, &error))?;
+    let explanation = collect(args).map_err(|(file, error)| unreadable_file(&file, &error))?;
     if explanation.lines.is_empty() {
         return Err(not_found(&explanation));
     }
     print(output, &explanation, || timeline(&explanation));
     if let (Output::Table, Some(line)) = (output, &explanation.deciding) {
-        println!("\ndecided by {}: {} ({})", line.r#box, line.event, line.told());
+        println!("\ndecided by {}: {} ({})", line.r#box, line.event, line.format_fields());
     }
     Ok(())
 }
 
 fn collect(args: &ExplainArgs) -> Result<Explanation, (PathBuf, io::Error)> {
-    let own = BTreeSet::from([args.id.clone()]);
-    let mut jobs = BTreeSet::new();
-    let mut works = BTreeSet::new();
-    let mut shards = BTreeSet::new();
+    let requested_ids = BTreeSet::from([args.id.clone()]);
+    let mut job_ids = BTreeSet::new();
+    let mut work_ids = BTreeSet::new();
+    let mut shard_ids = BTreeSet::new();
     let mut lines = Vec::new();
     let mut read = Vec::new();
     for file in &args.files {
         let span = each_line(file, |line| {
-            if line.names(&own) {
+            if line.has_id_in(&requested_ids) {
                 let text = |name: &str| line.fields.get(name).and_then(Value::as_str);
-                jobs.extend(text("job").map(str::to_owned));
-                works.extend(text("work").map(str::to_owned));
+                job_ids.extend(text("job").map(str::to_owned));
+                work_ids.extend(text("work").map(str::to_owned));
                 lines.push(line);
             }
         });
         read.push(span.map_err(|error| (file.clone(), error))?);
     }
-    // The job of an item, the shard of a job and the work of a request, as their own lines tell them.
-    let others: BTreeSet<String> = jobs.difference(&own).cloned().collect();
-    let mut about_shard = Vec::new();
+    // The second pass adds lines of the jobs, work and shards that the lines above mention.
+    let related_jobs: BTreeSet<String> = job_ids.difference(&requested_ids).cloned().collect();
+    let mut shard_lines = Vec::new();
     for file in &args.files {
-        let again = each_line(file, |line| {
-            if line.names(&jobs) {
-                shards.extend(line.fields.get("shard").and_then(Value::as_u64));
+        let second_read = each_line(file, |line| {
+            if line.has_id_in(&job_ids) {
+                shard_ids.extend(line.fields.get("shard").and_then(Value::as_u64));
             }
-            let of_job = line.names(&others) && !line.fields.contains_key("item");
-            let of_work = WORK_EVENTS.contains(&line.event.as_str()) && line.names(&works);
-            if (of_job || of_work) && !line.names(&own) {
+            let of_job = line.has_id_in(&related_jobs) && !line.fields.contains_key("item");
+            let of_work = WORK_EVENTS.contains(&line.event.as_str()) && line.has_id_in(&work_ids);
+            if (of_job || of_work) && !line.has_id_in(&requested_ids) {
                 lines.push(line);
             } else if SHARD_EVENTS.contains(&line.event.as_str()) {
-                about_shard.push(line);
+                shard_lines.push(line);
             }
         });
-        again.map_err(|error| (file.clone(), error))?;
+        second_read.map_err(|error| (file.clone(), error))?;
     }
-    let first = lines.iter().map(|line| line.time_s).fold(f64::INFINITY, f64::min) - AROUND_S;
-    let last = lines.iter().map(|line| line.time_s).fold(f64::NEG_INFINITY, f64::max) + AROUND_S;
-    about_shard.retain(|line| {
+    let first =
+        lines.iter().map(|line| line.time_s).fold(f64::INFINITY, f64::min) - SHARD_EVENT_MARGIN_S;
+    let last = lines.iter().map(|line| line.time_s).fold(f64::NEG_INFINITY, f64::max)
+        + SHARD_EVENT_MARGIN_S;
+    shard_lines.retain(|line| {
         let of_shard = line.fields.get("shard").and_then(Value::as_u64);
-        of_shard.is_some_and(|shard| shards.contains(&shard))
+        of_shard.is_some_and(|shard| shard_ids.contains(&shard))
             && (first..=last).contains(&line.time_s)
     });
-    lines.extend(about_shard);
+    lines.extend(shard_lines);
     lines.sort_by(|a, b| a.time_s.total_cmp(&b.time_s));
-    let deciding = lines.iter().rev().find(|line| line.names(&own) && line.decides()).cloned();
+    let deciding = lines
+        .iter()
+        .rev()
+        .find(|line| line.has_id_in(&requested_ids) && line.has_outcome())
+        .cloned();
     Ok(Explanation { id: args.id.clone(), lines, deciding, read })
 }
 
 fn timeline(explanation: &Explanation) -> Table {
-    let begun = explanation.lines.first().map_or(0.0, |line| line.time_s);
+    let start_s = explanation.lines.first().map_or(0.0, |line| line.time_s);
     let mut table = Table::new(&["AFTER S", "BOX", "EVENT", "FIELDS"]);
     for line in &explanation.lines {
-        let after = format!("{:.3}", line.time_s - begun);
-        table.row([after, line.r#box.clone(), line.event.clone(), line.told()]);
+        let after = format!("{:.3}", line.time_s - start_s);
+        table.row([after, line.r#box.clone(), line.event.clone(), line.format_fields()]);
     }
     table
 }
@@ -121,7 +128,7 @@
     });
     let read: String = read.collect();
     CliError::BadInput(format!(
-        "no line names {}: look at the logs of other boxes or of another time; read were:{read}",
+        "no line mentions {}: try the logs of other boxes or of another time; files read:{read}",
         explanation.id
     ))
 }
--- a/crates/gannetctl/src/log_lines.rs
+++ b/crates/gannetctl/src/log_lines.rs
@@ -1,4 +1,4 @@
-//! Lines of boxes' logs, as they were written to standard output or collected from there.
+//! Parses log lines of boxes, as written to standard output or gathered by a log collector.
 
 use std::collections::BTreeSet;
 use std::fs::File;
@@ -10,12 +10,12 @@
 
 use crate::exit::CliError;
 
-/// Fields that name what a line is about.
+/// Fields that hold the id of what a line is about.
 const ID_FIELDS: [&str; 4] = ["request", "job", "item", "work"];
-/// Fields that are told in columns of their own, or are the same on every line.
-const COLUMNS: [&str; 5] = ["t", "box", "event", "level", "part"];
+/// Fields that are common to all lines; left out of `LogLine::fields`.
+const COMMON_FIELDS: [&str; 5] = ["t", "box", "event", "level", "part"];
 
-/// One line of a log.
+/// A parsed log line.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct LogLine {
     pub(crate) time_s: f64,
@@ -25,40 +25,41 @@
 }
 
 impl LogLine {
-    /// Reads a line; whatever stands before the object, such as a collector's stamp, is skipped.
+    /// Parses a line; skips any prefix before the JSON object, such as a collector's timestamp.
     pub(crate) fn parse(line: &str) -> Option<Self> {
         let object = line.find('{').map(|at| &line[at..])?;
         let mut fields: Map<String, Value> = serde_json::from_str(object).ok()?;
         let time_s = fields.get("t")?.as_f64()?;
         let text = |name: &str| fields.get(name).and_then(Value::as_str).unwrap_or("").to_owned();
         let (r#box, event) = (text("box"), text("event"));
-        fields.retain(|name, _| !COLUMNS.contains(&name.as_str()));
+        fields.retain(|name, _| !COMMON_FIELDS.contains(&name.as_str()));
         Some(Self { time_s, r#box, event, fields })
     }
 
-    /// A field that holds text.
+    /// Returns the value of a text field.
     pub(crate) fn text(&self, name: &str) -> Option<&str> {
         self.fields.get(name).and_then(Value::as_str)
     }
 
-    /// A field that holds a number.
+    /// Returns the value of a numeric field.
     pub(crate) fn number(&self, name: &str) -> Option<f64> {
         self.fields.get(name).and_then(Value::as_f64)
     }
 
-    /// Whether one of its ids is among `ids`.
-    pub(crate) fn names(&self, ids: &BTreeSet<String>) -> bool {
+    /// Returns whether one of the id fields has a value in `ids`.
+    pub(crate) fn has_id_in(&self, ids: &BTreeSet<String>) -> bool {
         ID_FIELDS.iter().any(|field| {
             self.fields.get(*field).and_then(Value::as_str).is_some_and(|id| ids.contains(id))
         })
     }
 
-    /// Whether it says how something ended, and why.
-    pub(crate) fn decides(&self) -> bool {
+    /// Returns whether the line states an outcome or a reason.
+    pub(crate) fn has_outcome(&self) -> bool {
         self.fields.contains_key("outcome") || self.fields.contains_key("why")
     }
 
-    pub(crate) fn told(&self) -> String {
+    /// Formats the fields as `name=value` pairs.
+    pub(crate) fn format_fields(&self) -> String {
         let fields = self.fields.iter().map(|(name, value)| match value {
             Value::String(text) => format!("{name}={text}"),
             other => format!("{name}={other}"),
@@ -67,7 +68,7 @@
     }
 }
 
-/// What was read of one file.
+/// Number and time range of the log lines of a file.
 #[derive(Debug, Serialize)]
 pub(crate) struct FileSpan {
     pub(crate) file: PathBuf,
@@ -76,21 +77,21 @@
     pub(crate) last_s: Option<f64>,
 }
 
-/// Gives each log line of a file to `take`; says what was read.
-pub(crate) fn each_line(file: &Path, mut take: impl FnMut(LogLine)) -> io::Result<FileSpan> {
+/// Calls `handle` with each log line of a file; skips other lines.
+pub(crate) fn each_line(file: &Path, mut handle: impl FnMut(LogLine)) -> io::Result<FileSpan> {
     let mut span = FileSpan { file: file.to_owned(), lines: 0, first_s: None, last_s: None };
     for line in BufReader::new(File::open(file)?).lines() {
         let Some(line) = LogLine::parse(&line?) else { continue };
         span.lines += 1;
         span.first_s = Some(span.first_s.map_or(line.time_s, |first| first.min(line.time_s)));
         span.last_s = Some(span.last_s.map_or(line.time_s, |last| last.max(line.time_s)));
-        take(line);
+        handle(line);
     }
     Ok(span)
 }
 
-/// The fault of a file that cannot be read.
-pub(crate) fn unreadable(file: &Path, error: &io::Error) -> CliError {
+/// Returns the error for a log file that cannot be read.
+pub(crate) fn unreadable_file(file: &Path, error: &io::Error) -> CliError {
     let name = file.display();
-    CliError::BadInput(format!("{name} cannot be read ({error}): name log files of boxes"))
+    CliError::BadInput(format!("{name} cannot be read ({error}): specify log files of boxes"))
 }
--- a/crates/gannetctl/src/main.rs
+++ b/crates/gannetctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The command-line tool of operators and trainers.
+//! Command-line tool for operators and trainers.
 
 mod cli;
 mod commands;
@@ -7,8 +7,8 @@
 mod log_lines;
 mod output;
 mod queries;
-mod step_account;
-mod step_picture;
+mod step_chart;
+mod step_timings;
 mod steps;
 mod usage_windows;
 
@@ -36,7 +36,7 @@
 
 async fn run(cli: Cli) -> Result<(), CliError> {
     let output = cli.output;
-    // What only reads files needs no entry box.
+    // These commands only read log files and need no entry box.
     match &cli.command {
         Command::Explain(args) => return explain::explain(args, output),
         Command::Steps(args) => return steps::steps(args, output),
--- a/crates/gannetctl/src/output.rs
+++ b/crates/gannetctl/src/output.rs
@@ -1,19 +1,19 @@
-//! Tables for people, JSON for programs.
+//! Prints results as tables or JSON.
 
 use serde::Serialize;
 
 use crate::cli::Output;
 
-/// A table with a heading.
+/// A table with a header row.
 #[derive(Debug, Default)]
 pub struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// A table with these column names.
-    pub fn new(heading: &[&str]) -> Self {
-        Self { rows: vec![heading.iter().map(|name| (*name).to_owned()).collect()] }
+    /// Creates a table with these column names.
+    pub fn new(column_names: &[&str]) -> Self {
+        Self { rows: vec![column_names.iter().map(|name| (*name).to_owned()).collect()] }
     }
 
     /// Adds a row.
@@ -21,7 +21,7 @@
         self.rows.push(cells.into_iter().collect());
     }
 
-    /// The table as text, columns aligned.
+    /// Formats the table as text with aligned columns.
     pub fn render(&self) -> String {
         let columns = self.rows.iter().map(Vec::len).max().unwrap_or(0);
         let width = |column: usize| {
@@ -39,7 +39,7 @@
     }
 }
 
-/// Prints a value as JSON, or the table made of it.
+/// Prints `value` as JSON or `table`, depending on `output`.
 pub fn print<T: Serialize>(output: Output, value: &T, table: impl FnOnce() -> Table) {
     match output {
         Output::Table => println!("{}", table().render()),
--- a/crates/gannetctl/src/queries.rs
+++ b/crates/gannetctl/src/queries.rs
@@ -1,4 +1,4 @@
-//! What only looks.
+//! Commands that only read.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::exit::CliError;
 use crate::output::{Table, print};
 
-async fn read<T: serde::de::DeserializeOwned>(
+async fn get_body<T: serde::de::DeserializeOwned>(
     entry: &EntryClient,
     path: &str,
 ) -> Result<T, ClientError> {
@@ -19,21 +19,21 @@
 
 /// Shows one pool.
 pub async fn get(entry: &EntryClient, args: GetArgs, output: Output) -> Result<(), CliError> {
-    let body: PoolsBody = read(entry, &format!("/v1/pools/{}", args.pool)).await?;
+    let body: PoolsBody = get_body(entry, &format!("/v1/pools/{}", args.pool)).await?;
     print(output, &body, || pools_table(&body));
     Ok(())
 }
 
 /// Lists the pools.
 pub async fn list(entry: &EntryClient, output: Output) -> Result<(), CliError> {
-    let body: PoolsBody = read(entry, "/v1/pools").await?;
+    let body: PoolsBody = get_body(entry, "/v1/pools").await?;
     print(output, &body, || pools_table(&body));
     Ok(())
 }
 
 fn pools_table(body: &PoolsBody) -> Table {
-    let heading = ["POOL", "VERSION", "BOUND", "TRAINERS", "ENGINES", "CHANGED", "IN FORCE"];
-    let mut table = Table::new(&heading);
+    let column_names = ["POOL", "VERSION", "BOUND", "TRAINERS", "ENGINES", "CHANGED", "IN FORCE"];
+    let mut table = Table::new(&column_names);
     for entry in &body.pools {
         let spec = &entry.spec;
         table.row([
@@ -49,9 +49,9 @@
     table
 }
 
-/// Shows the entry box that answers.
+/// Shows the state of the entry box that responds.
 pub async fn status(entry: &EntryClient, output: Output) -> Result<(), CliError> {
-    let status: BoxStatus = read(entry, "/v1/status").await?;
+    let status: BoxStatus = get_body(entry, "/v1/status").await?;
     print(output, &status, || status_table(&status));
     Ok(())
 }
--- a/crates/gannetctl/src/steps.rs
+++ b/crates/gannetctl/src/steps.rs
@@ -1,28 +1,29 @@
-//! What the trainers waited for, step by step: a row or a bar each.
+//! `steps`: shows what trainers waited for in each step, as a table and optionally a chart.
 
 use crate::cli::{Output, StepsArgs};
 use crate::exit::CliError;
-use crate::log_lines::{each_line, unreadable};
+use crate::log_lines::{each_line, unreadable_file};
 use crate::output::{Table, print};
-use crate::step_account::{StepLines, StepTimings};
-use crate::step_picture::draw_steps;
+use crate::step_chart::draw_step_chart;
+use crate::step_timings::{StepLogCollector, StepTimings};
 
-/// Tells the steps whose lines are in the logs.
+/// Prints the timings of the steps found in the log files.
 pub fn steps(args: &StepsArgs, output: Output) -> Result<(), CliError> {
-    let mut lines = StepLines::default();
+    let mut collector = StepLogCollector::default();
     for file in &args.files {
-        each_line(file, |line| lines.take(&line)).map_err(|error| unreadable(file, &error))?;
+        each_line(file, |line| collector.record_line(&line))
+            .map_err(|error| unreadable_file(file, &error))?;
     }
-    let mut steps = lines.steps();
+    let mut steps = collector.into_steps();
     steps.retain(|step| args.model.as_ref().is_none_or(|model| model.as_str() == step.model));
     if steps.is_empty() {
-        let remedy = "name the logs of the keeping boxes, from a time in which steps ended";
-        return Err(CliError::BadInput(format!("no line tells of a step: {remedy}")));
+        let remedy = "specify the logs of storage boxes, from a time in which steps ended";
+        return Err(CliError::BadInput(format!("no step found in the logs: {remedy}")));
     }
     if let Some(picture) = &args.picture {
-        draw_steps(picture, &steps).map_err(|error| {
+        draw_step_chart(picture, &steps).map_err(|error| {
             let name = picture.display();
-            CliError::BadInput(format!("{name} cannot be written ({error}): name another file"))
+            CliError::BadInput(format!("{name} cannot be written ({error}): specify another file"))
         })?;
     }
     print(output, &steps, || table(&steps));
@@ -30,7 +31,7 @@
 }
 
 fn table(steps: &[StepTimings]) -> Table {
-    let heading = [
+    let column_names = [
         "MODEL",
         "STEP",
         "TAKEN AT",
@@ -46,7 +47,7 @@
         "SCORED",
         "WAITED FOR",
     ];
-    let mut table = Table::new(&heading);
+    let mut table = Table::new(&column_names);
     for step in steps {
         let after = |at: Option<f64>| match at {
             Some(at) => format!("{:.2}", at - step.taken_at),
--- a/crates/gannetctl/src/usage_windows.rs
+++ b/crates/gannetctl/src/usage_windows.rs
@@ -1,4 +1,4 @@
-//! The reports of customers' use, window by window: when each was fixed, when it was taken, and what held it up.
+//! `usage`: shows for each window when its usage report was committed and when it was accepted.
 
 use std::collections::BTreeMap;
 
@@ -6,76 +6,77 @@
 
 use crate::cli::{Output, UsageArgs};
 use crate::exit::CliError;
-use crate::log_lines::{LogLine, each_line, unreadable};
+use crate::log_lines::{LogLine, each_line, unreadable_file};
 use crate::output::{Table, print};
 
-/// What the logs say of one window's report.
+/// State of one window's usage report, from the logs.
 #[derive(Debug, Clone, Default, Serialize)]
-struct WindowAccount {
+struct WindowSummary {
     window: u64,
-    /// When its counts were fixed, by the clock of the box that did it.
+    /// When its counts were committed, by the clock of the box that committed them.
     fixed_at: Option<f64>,
     requests: u64,
     customers: u64,
-    /// Whether all boxes that may hold counts were heard just then.
+    /// Whether all boxes that may hold counts had reported at that time.
     all_heard: bool,
-    /// How often it was sent.
+    /// Number of attempts to send it.
     sent: u32,
+    /// When the accounting service first accepted it.
     taken_at: Option<f64>,
     /// The box that sent it last.
     holder: String,
-    /// How the last try ended.
+    /// Outcome of the last log line about it.
     outcome: String,
 }
 
-/// Tells the windows whose lines are in the logs; a window without a line between two others is told as missing.
+/// Prints the windows found in the log files; gaps between them are shown as missing.
 pub fn usage(args: &UsageArgs, output: Output) -> Result<(), CliError> {
     let mut windows = BTreeMap::new();
     for file in &args.files {
-        each_line(file, |line| take(&mut windows, &line))
-            .map_err(|error| unreadable(file, &error))?;
+        each_line(file, |line| record_line(&mut windows, &line))
+            .map_err(|error| unreadable_file(file, &error))?;
     }
     let (Some(first), Some(last)) =
         (windows.keys().next().copied(), windows.keys().last().copied())
     else {
-        let remedy = "name the logs of the keeping boxes, of a deployment whose use is reported";
-        return Err(CliError::BadInput(format!("no line tells of a report of use: {remedy}")));
+        let remedy = "specify the logs of storage boxes, of a deployment that reports usage";
+        return Err(CliError::BadInput(format!("no usage report found in the logs: {remedy}")));
     };
     let all = (first..=last).map(|window| {
-        let missing = WindowAccount { outcome: "no line".to_owned(), ..WindowAccount::default() };
-        WindowAccount { window, ..windows.remove(&window).unwrap_or(missing) }
+        let missing = WindowSummary { outcome: "no line".to_owned(), ..WindowSummary::default() };
+        WindowSummary { window, ..windows.remove(&window).unwrap_or(missing) }
     });
-    let all: Vec<WindowAccount> = all.collect();
+    let all: Vec<WindowSummary> = all.collect();
     print(output, &all, || table(&all));
     Ok(())
 }
 
-fn take(windows: &mut BTreeMap<u64, WindowAccount>, line: &LogLine) {
+fn record_line(windows: &mut BTreeMap<u64, WindowSummary>, line: &LogLine) {
     let number = |name: &str| line.fields.get(name).and_then(serde_json::Value::as_u64);
-    let fixed = line.event == "usage report";
-    if !fixed && line.event != "usage report sent" {
+    let is_commit = line.event == "usage report";
+    if !is_commit && line.event != "usage report sent" {
         return;
     }
     let Some(window) = number("window") else { return };
-    let account = windows.entry(window).or_default();
+    let summary = windows.entry(window).or_default();
     let outcome = line.text("outcome").unwrap_or_default();
-    outcome.clone_into(&mut account.outcome);
-    if !fixed {
-        account.sent += 1;
-        account.holder.clone_from(&line.r#box);
+    outcome.clone_into(&mut summary.outcome);
+    if !is_commit {
+        summary.sent += 1;
+        summary.holder.clone_from(&line.r#box);
         if outcome == "taken" {
-            account.taken_at = Some(account.taken_at.unwrap_or(line.time_s));
+            summary.taken_at = Some(summary.taken_at.unwrap_or(line.time_s));
         }
     } else if outcome == "fixed" {
-        account.fixed_at = Some(line.time_s);
-        account.requests = number("requests").unwrap_or_default();
-        account.customers = number("customers").unwrap_or_default();
-        let heard = line.fields.get("all_heard").and_then(serde_json::Value::as_bool);
-        account.all_heard = heard.unwrap_or_default();
+        summary.fixed_at = Some(line.time_s);
+        summary.requests = number("requests").unwrap_or_default();
+        summary.customers = number("customers").unwrap_or_default();
+        let all_reported = line.fields.get("all_heard").and_then(serde_json::Value::as_bool);
+        summary.all_heard = all_reported.unwrap_or_default();
     }
 }
 
-fn table(windows: &[WindowAccount]) -> Table {
+fn table(windows: &[WindowSummary]) -> Table {
     let mut table = Table::new(&[
         "WINDOW",
         "FIXED AT",
@@ -88,17 +89,17 @@
         "LAST TRY",
     ]);
     let at = |time: Option<f64>| time.map_or("-".to_owned(), |time| format!("{time:.2}"));
-    for account in windows {
+    for summary in windows {
         table.row([
-            account.window.to_string(),
-            at(account.fixed_at),
-            account.requests.to_string(),
-            account.customers.to_string(),
-            account.all_heard.to_string(),
-            account.sent.to_string(),
-            at(account.taken_at),
-            account.holder.clone(),
-            account.outcome.clone(),
+            summary.window.to_string(),
+            at(summary.fixed_at),
+            summary.requests.to_string(),
+            summary.customers.to_string(),
+            summary.all_heard.to_string(),
+            summary.sent.to_string(),
+            at(summary.taken_at),
+            summary.holder.clone(),
+            summary.outcome.clone(),
         ]);
     }
     table
--- a/crates/gannetctl/tests/common/mod.rs
+++ b/crates/gannetctl/tests/common/mod.rs
@@ -1,45 +1,45 @@
-//! Log files for the tool, and its answers.
+//! Writes log files, runs the tool on them and returns its output.
 
 use std::fs;
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-/// Files in the temporary folder, removed with it.
+/// Log files in the temporary folder; removed on drop.
 pub struct LogFiles(Vec<PathBuf>);
 
 impl LogFiles {
-    /// Writes one file for each text; `name` tells tests apart.
+    /// Writes one file per text; `name` must be unique per test.
     pub fn write(name: &str, texts: &[&str]) -> Self {
         let folder = std::env::temp_dir();
-        let files = texts.iter().enumerate().map(|(at, text)| {
-            let file = folder.join(format!("gannetway-{name}-{at}-{}.log", std::process::id()));
-            fs::write(&file, text).expect("written");
+        let files = texts.iter().enumerate().map(|(index, text)| {
+            let file = folder.join(format!("gannetway-{name}-{index}-{}.log", std::process::id()));
+            fs::write(&file, text).expect("the log file can be written");
             file
         });
         Self(files.collect())
     }
 
-    /// Runs the tool with these arguments, and the files after them.
-    pub fn run(&self, arguments: &[&str]) -> Output {
+    /// Runs the tool with these arguments, followed by the file names.
+    pub fn run(&self, args: &[&str]) -> Output {
         let mut command = Command::new(env!("CARGO_BIN_EXE_gannetctl"));
-        command.args(arguments).args(&self.0).output().expect("it runs")
+        command.args(args).args(&self.0).output().expect("gannetctl can be started")
     }
 }
 
 impl Drop for LogFiles {
     fn drop(&mut self) {
         for file in &self.0 {
-            let _gone = fs::remove_file(file);
+            let _result = fs::remove_file(file);
         }
     }
 }
 
-/// What the tool printed.
-pub fn text(output: &Output) -> String {
+/// Returns the standard output as text.
+pub fn stdout_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-/// What it said of a fault.
-pub fn fault(output: &Output) -> String {
+/// Returns the standard error as text.
+pub fn stderr_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
--- a/crates/gannetctl/tests/explain.rs
+++ b/crates/gannetctl/tests/explain.rs
@@ -1,10 +1,10 @@
-//! From an id to its cause, as an on-call engineer would see it.
+//! Output of `explain` for requests, items and work.
 
 mod common;
 
 use std::process::Output;
 
-use common::{LogFiles, fault, text};
+use common::{LogFiles, stderr_text, stdout_text};
 
 const KEEPER: &str = r#"
    5.1 keep-1 {"box":"keep-1","event":"job submitted","items":2,"job":"j1","min_version":3,"outcome":"accepted","part":"jobs","shard":0,"t":100.5,"level":"info"}
@@ -21,14 +21,14 @@
 {"box":"entry-1","event":"request ended","config":3,"outcome":"not run","part":"entry","request":"r1","route":"plain","t":101.25,"level":"info","took_ms":700}
 "#;
 
-fn explain(name: &str, more: &[&str], id: &str) -> Output {
+fn explain(name: &str, flags: &[&str], id: &str) -> Output {
     let logs = LogFiles::write(&format!("explain-{name}"), &[KEEPER, ENTRY]);
-    logs.run(&[more, &["explain", id]].concat())
+    logs.run(&[flags, &["explain", id]].concat())
 }
 
 #[test]
-fn a_refused_request_is_told_from_its_tries_to_its_end() {
-    let told = text(&explain("request", &[], "r1"));
+fn request_id_shows_its_attempts_and_outcome() {
+    let shown = stdout_text(&explain("request", &[], "r1"));
     let expected = "\
 AFTER S  BOX      EVENT          FIELDS
 0.000    entry-1  try ended      left_ms=900 outcome=silent request=r1 target=d1 took_ms=450
@@ -36,54 +36,54 @@
 
 decided by entry-1: request ended (config=3 outcome=not run request=r1 route=plain took_ms=700)
 ";
-    assert_eq!(told, expected);
+    assert_eq!(shown, expected);
 }
 
 #[test]
-fn an_item_leads_to_its_job_and_its_shard() {
-    let told = text(&explain("item", &[], "i1"));
-    let events: Vec<&str> = told.lines().skip(1).take(4).collect();
-    assert_eq!(events.len(), 4, "{told}");
-    assert!(events[0].contains("keep-1   job submitted"), "{told}");
-    assert!(events[1].contains("entry-1  job handed in"), "{told}");
-    assert!(events[2].contains("outcome=slow engine"), "{told}");
-    assert!(events[3].contains("why=copy lost"), "{told}");
-    assert!(!told.contains("i2") && !told.contains("shard=7") && !told.contains("0.a.keep-1"));
-    assert!(told.contains("decided by keep-1: run ended"), "{told}");
+fn item_id_also_shows_its_job_and_shard() {
+    let shown = stdout_text(&explain("item", &[], "i1"));
+    let events: Vec<&str> = shown.lines().skip(1).take(4).collect();
+    assert_eq!(events.len(), 4, "{shown}");
+    assert!(events[0].contains("keep-1   job submitted"), "{shown}");
+    assert!(events[1].contains("entry-1  job handed in"), "{shown}");
+    assert!(events[2].contains("outcome=slow engine"), "{shown}");
+    assert!(events[3].contains("why=copy lost"), "{shown}");
+    assert!(!shown.contains("i2") && !shown.contains("shard=7") && !shown.contains("0.a.keep-1"));
+    assert!(shown.contains("decided by keep-1: run ended"), "{shown}");
 }
 
 #[test]
-fn programs_get_the_same_as_json() {
-    let told = text(&explain("json", &["--output", "json"], "r1"));
-    let told: serde_json::Value = serde_json::from_str(&told).expect("JSON");
-    assert_eq!(told["deciding"]["fields"]["outcome"], "not run");
-    assert_eq!(told["lines"].as_array().map(Vec::len), Some(2));
-    assert_eq!(told["read"][0]["lines"], 6);
+fn json_output_has_the_same_lines() {
+    let shown = stdout_text(&explain("json", &["--output", "json"], "r1"));
+    let shown: serde_json::Value = serde_json::from_str(&shown).expect("the output is JSON");
+    assert_eq!(shown["deciding"]["fields"]["outcome"], "not run");
+    assert_eq!(shown["lines"].as_array().map(Vec::len), Some(2));
+    assert_eq!(shown["read"][0]["lines"], 6);
 }
 
 #[test]
-fn without_a_line_it_says_what_was_read() {
+fn unknown_id_reports_the_files_read() {
     let output = explain("none", &[], "r2");
     assert_eq!(output.status.code(), Some(2));
-    let error = fault(&output);
-    assert!(error.contains("no line names r2"), "{error}");
+    let error = stderr_text(&output);
+    assert!(error.contains("no line mentions r2"), "{error}");
     assert!(error.contains("6 lines, from 50.000 to 103.000"), "{error}");
     let output =
         LogFiles::write("explain-missing", &[]).run(&["explain", "r1", "no-such-file.log"]);
     assert_eq!(output.status.code(), Some(2));
-    assert!(fault(&output).contains("name log files of boxes"));
+    assert!(stderr_text(&output).contains("specify log files of boxes"));
 }
 
-const LETHAL: &str = r#"{"box":"entry-1","event":"try ended","outcome":"broken","part":"targets","request":"r7","t":7,"level":"info","target":"d1","work":"w1"}
+const POISON_WORK: &str = r#"{"box":"entry-1","event":"try ended","outcome":"broken","part":"targets","request":"r7","t":7,"level":"info","target":"d1","work":"w1"}
 {"box":"entry-1","event":"target probed","ends":1,"outcome":"ended","part":"targets","t":7.5,"level":"info","target":"d1@5","work":"w1"}
 {"box":"entry-1","event":"target probed","ends":1,"outcome":"ended","part":"targets","t":7.5,"level":"info","target":"d1@5","work":"w2"}
 {"box":"entry-2","event":"work refused","ends":3,"outcome":"condemned","part":"targets","request":"r9","t":9,"level":"info","work":"w1"}
 "#;
 
 #[test]
-fn a_request_that_is_turned_away_leads_to_the_targets_that_ended_under_its_work() {
-    let logs = LogFiles::write("explain-lethal", &[LETHAL]);
-    let told = text(&logs.run(&["explain", "r9"]));
+fn refused_request_shows_crashes_caused_by_the_same_work() {
+    let logs = LogFiles::write("explain-lethal", &[POISON_WORK]);
+    let shown = stdout_text(&logs.run(&["explain", "r9"]));
     let expected = "\
 AFTER S  BOX      EVENT          FIELDS
 0.000    entry-1  target probed  ends=1 outcome=ended target=d1@5 work=w1
@@ -91,8 +91,8 @@
 
 decided by entry-2: work refused (ends=3 outcome=condemned request=r9 work=w1)
 ";
-    assert_eq!(told, expected);
-    // By the work itself all of its tries are found, whatever their ids.
-    let told = text(&logs.run(&["explain", "w1"]));
-    assert!(told.contains("request=r7") && !told.contains("work=w2"), "{told}");
+    assert_eq!(shown, expected);
+    // An id of work finds all attempts of that work, under any request id.
+    let shown = stdout_text(&logs.run(&["explain", "w1"]));
+    assert!(shown.contains("request=r7") && !shown.contains("work=w2"), "{shown}");
 }
--- a/crates/gannetctl/tests/usage.rs
+++ b/crates/gannetctl/tests/usage.rs
@@ -1,8 +1,8 @@
-//! Reports of customers' use, as told from boxes' logs.
+//! Output of `usage`.
 
 mod common;
 
-use common::{LogFiles, fault, text};
+use common::{LogFiles, stderr_text, stdout_text};
 
 const KEEPERS: [&str; 2] = [
     r#"
@@ -18,9 +18,9 @@
 ];
 
 #[test]
-fn each_window_tells_when_it_was_fixed_and_taken_and_by_whom() {
+fn table_shows_when_each_window_was_committed_and_accepted() {
     let logs = LogFiles::write("usage-table", &KEEPERS);
-    let told = text(&logs.run(&["usage"]));
+    let shown = stdout_text(&logs.run(&["usage"]));
     let expected = "\
 WINDOW  FIXED AT  REQUESTS  CUSTOMERS  ALL HEARD  SENT  TAKEN AT  HOLDER  LAST TRY
 20      107.00    9         2          true       1     107.10    keep-1  taken
@@ -28,13 +28,17 @@
 22      -         0         0          false      0     -                 no line
 23      127.00    0         0          true       0     -                 fixed
 ";
-    assert_eq!(told, expected);
+    assert_eq!(shown, expected);
 }
 
 #[test]
-fn logs_without_a_report_are_told_as_such() {
+fn logs_without_usage_reports_are_an_error() {
     let logs = LogFiles::write("usage-none", &["{\"t\":1.0,\"event\":\"started\"}"]);
     let output = logs.run(&["usage"]);
     assert!(!output.status.success());
-    assert!(fault(&output).contains("name the logs of the keeping boxes"), "{}", fault(&output));
+    assert!(
+        stderr_text(&output).contains("specify the logs of storage boxes"),
+        "{}",
+        stderr_text(&output)
+    );
 }
