--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -72,7 +72,7 @@
             load_time: Duration::from_millis(500),
             ..EngineSettings::default()
         },
-        ask_pause: Duration::from_millis(5),
+        request_pause: Duration::from_millis(5),
         limit: Duration::from_mins(10),
         ..WorldPlan::default()
     }
@@ -105,13 +105,13 @@
     let swap = Fault::NameVersion(ModelVersion::new(2));
     let faults = FaultPlan::default().at(bound / 2, swap);
     let mut world: World<C> = World::new(plan, faults);
-    let verdict: Verdict = world.run_at_once();
+    let verdict: Verdict = world.run_without_clock();
     let samples = u32::from(plan.groups) * u32::from(plan.samples);
     let attempts = u32::try_from(verdict.attempts).unwrap_or(u32::MAX);
     Outcome {
         ratio: verdict.ended_at.since_start().as_secs_f64() / bound.as_secs_f64(),
         wasted: f64::from(attempts) / f64::from(samples) - 1.0,
-        breaches: verdict.breaches.len(),
+        breaches: verdict.violations.len(),
         complete: verdict.complete,
     }
 }
--- a/crates/sessions/src/engine.rs
+++ b/crates/sessions/src/engine.rs
@@ -1,4 +1,4 @@
-//! An engine and its home, at the interface the keeper's work comes in by.
+//! A fake engine and the admission queue of its home.
 
 use std::collections::BTreeMap;
 
@@ -12,63 +12,63 @@
 use pools::TargetKind;
 use standins::engine_model::{EngineModel, EngineSettings, StreamId};
 
+use crate::checker::SessionChecker;
 use crate::events::{BoxIndex, RunId};
-use crate::truth::Truth;
 
-/// An attempt at the target.
+/// An attempt that runs at the engine.
 #[derive(Debug)]
 pub struct EngineRun {
-    /// Names it in the session.
+    /// Id of the attempt in the session.
     pub run: RunId,
-    /// The box that placed it, and that box's life.
+    /// The box that placed it, and the box's incarnation.
     pub from: (BoxIndex, u64),
-    /// What was placed.
+    /// The assignment and its target.
     pub placement: Placement,
     ticket: TicketId,
-    trail: ChunkAssembler,
+    assembler: ChunkAssembler,
     digest: DigestWriter,
     tokens: u32,
     text: String,
     broken: bool,
 }
 
-/// An engine with its home's queue.
+/// An engine and the queue of its home.
 #[derive(Debug)]
-pub struct EngineSite {
-    /// The target.
+pub struct SimEngine {
+    /// Id of the target.
     pub id: TargetId,
-    /// The engine.
+    /// Model of the engine.
     pub model: EngineModel,
-    /// Its home's queue.
+    /// Admission queue of its home.
     pub queue: TargetQueue,
     settings: EngineSettings,
     streams: BTreeMap<StreamId, EngineRun>,
     waiting: BTreeMap<TicketId, (RunId, (BoxIndex, u64), Placement)>,
-    /// Chunks that come without a stamp.
-    pub drop_stamps: u32,
-    /// Orders that take effect without an answer.
-    pub lose_orders: u32,
-    /// Orders that are refused.
-    pub refuse_orders: u32,
-    /// Since when the engine says that it is leaving.
+    /// Number of next chunks that are sent without a stamp.
+    pub stamps_to_drop: u32,
+    /// Number of next orders that take effect but whose response is lost.
+    pub order_responses_to_lose: u32,
+    /// Number of next orders that are refused.
+    pub orders_to_refuse: u32,
+    /// Since when the engine reports that it is leaving.
     pub leaving_since: Option<Moment>,
-    /// When the session next looks at it.
+    /// Time of its next scheduled `EngineDue` event.
     pub due_at: Option<Moment>,
 }
 
 /// An attempt that ended at the target.
 #[derive(Debug)]
 pub struct EndedRun {
-    /// The box that placed it, and that box's life.
+    /// The box that placed it, and the box's incarnation.
     pub from: (BoxIndex, u64),
-    /// What was placed.
+    /// The assignment and its target.
     pub placement: Placement,
-    /// How it ended.
-    pub end: AttemptOutcome,
+    /// Outcome of the attempt.
+    pub outcome: AttemptOutcome,
 }
 
-impl EngineSite {
-    /// An engine that holds version 1.
+impl SimEngine {
+    /// Creates an engine with version 1 loaded.
     pub fn new(id: TargetId, settings: EngineSettings, limit: usize) -> Self {
         let model = EngineModel::new(settings, Incarnation::new(1), ModelVersion::new(1));
         Self {
@@ -78,15 +78,15 @@
             settings,
             streams: BTreeMap::new(),
             waiting: BTreeMap::new(),
-            drop_stamps: 0,
-            lose_orders: 0,
-            refuse_orders: 0,
+            stamps_to_drop: 0,
+            order_responses_to_lose: 0,
+            orders_to_refuse: 0,
             leaving_since: None,
             due_at: None,
         }
     }
 
-    /// The engine's own word on its state.
+    /// Returns the state that the engine reports.
     pub fn reading(&mut self, now: Moment) -> ReplicaReading {
         ReplicaReading {
             incarnation: self.model.incarnation(),
@@ -97,7 +97,7 @@
         }
     }
 
-    /// What the home tells along with its answers.
+    /// Returns the hint that the home adds to its responses.
     pub fn hint(&self) -> TargetHint {
         let count = |number: usize| u32::try_from(number).unwrap_or(u32::MAX);
         TargetHint {
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Notes work that waits for a place.
-    pub fn wait(
+    /// Stores work that waits for admission.
+    pub fn enqueue(
         &mut self,
         ticket: TicketId,
         run: RunId,
@@ -122,8 +122,11 @@
         self.waiting.insert(ticket, (run, from, placement));
     }
 
-    /// Work that waited, now that its place is free or will not be.
-    pub fn waited(&mut self, ticket: TicketId) -> Option<(RunId, (BoxIndex, u64), Placement)> {
+    /// Removes and returns waiting work that was admitted or refused.
+    pub fn take_waiting(
+        &mut self,
+        ticket: TicketId,
+    ) -> Option<(RunId, (BoxIndex, u64), Placement)> {
         self.waiting.remove(&ticket)
     }
 
@@ -137,16 +140,16 @@
         placement: Placement,
     ) {
         let prompt = ContentDigest::of(placement.assignment.prompt.as_bytes()).get();
-        let longest = placement.assignment.max_tokens.get();
-        // By slot, so that a sample is as long whoever makes it, and however often.
+        let max_tokens = placement.assignment.max_tokens.get();
+        // Seeded by slot, so that all attempts of a slot generate samples of the same length.
         let seed = u64::from(placement.assignment.slot.get());
-        let stream = self.model.start(now, prompt, seed, longest);
+        let stream = self.model.start(now, prompt, seed, max_tokens);
         let entry = EngineRun {
             run,
             from,
             placement,
             ticket,
-            trail: ChunkAssembler::default(),
+            assembler: ChunkAssembler::default(),
             digest: DigestWriter::default(),
             tokens: 0,
             text: String::new(),
@@ -155,14 +158,14 @@
         self.streams.insert(stream, entry);
     }
 
-    /// Runs the engine up to `now`; gives the attempts that ended.
-    pub fn advance(&mut self, now: Moment, truth: &mut Truth) -> Vec<EndedRun> {
+    /// Advances the engine to `now` and returns the attempts that ended.
+    pub fn advance(&mut self, now: Moment, checker: &mut SessionChecker) -> Vec<EndedRun> {
         let mut ended = Vec::new();
         for step in self.model.step(now) {
-            let drop_stamp = self.drop_stamps > 0;
-            self.drop_stamps = self.drop_stamps.saturating_sub(1);
+            let drop_stamp = self.stamps_to_drop > 0;
+            self.stamps_to_drop = self.stamps_to_drop.saturating_sub(1);
             let Some(entry) = self.streams.get_mut(&step.stream) else { continue };
-            truth.made(entry.run, step.version, step.tokens);
+            checker.record_tokens(entry.run, step.version, step.tokens);
             let text = format!("{}.{} ", entry.run.0, step.index);
             let stamp = ChunkStamp {
                 index: step.index,
@@ -170,43 +173,43 @@
                 version: (!drop_stamp).then_some(step.version),
                 incarnation: self.model.incarnation(),
             };
-            entry.broken |= entry.trail.chunk(stamp, &text).is_err();
+            entry.broken |= entry.assembler.chunk(stamp, &text).is_err();
             entry.digest.update(text.as_bytes());
             entry.tokens += step.tokens;
             entry.text.push_str(&text);
-            let believed = self.queue.replica().status();
-            if matches!(believed, ReplicaStatus::Serving(version) if version != step.version) {
+            let home_status = self.queue.replica().status();
+            if matches!(home_status, ReplicaStatus::Serving(version) if version != step.version) {
                 self.queue.contradicted(now);
             }
             if step.last
                 && let Some(entry) = self.streams.remove(&step.stream)
             {
-                truth.finished(entry.run, entry.text.clone());
+                checker.record_text(entry.run, entry.text.clone());
                 self.queue.ended(entry.ticket, TokenCount::new(entry.tokens));
-                ended.push(entry.end(&self.id));
+                ended.push(entry.into_ended_run(&self.id));
             }
         }
         ended
     }
 
-    /// Breaks off every stream under way; the engine itself may be gone.
+    /// Breaks all running streams and returns their attempts.
     pub fn break_streams(&mut self, now: Moment) -> Vec<EndedRun> {
         let mut ended = Vec::new();
         for (stream, entry) in std::mem::take(&mut self.streams) {
             self.model.cancel(now, stream);
             self.queue.ended(entry.ticket, TokenCount::new(entry.tokens));
             let EngineRun { from, placement, .. } = entry;
-            ended.push(EndedRun { from, placement, end: AttemptOutcome::Unusable });
+            ended.push(EndedRun { from, placement, outcome: AttemptOutcome::Unusable });
         }
         ended
     }
 
-    /// Drops the streams of a box that is gone, as its connections break.
-    pub fn forget_box(&mut self, now: Moment, gone: BoxIndex) {
+    /// Drops the streams and the waiting work of a box whose connections are closed.
+    pub fn drop_box_work(&mut self, now: Moment, box_index: BoxIndex) {
         let streams: Vec<StreamId> = self
             .streams
             .iter()
-            .filter(|(_, entry)| entry.from.0 == gone)
+            .filter(|(_, entry)| entry.from.0 == box_index)
             .map(|(stream, _)| *stream)
             .collect();
         for stream in streams {
@@ -218,7 +221,7 @@
         let tickets: Vec<TicketId> = self
             .waiting
             .iter()
-            .filter(|(_, (_, from, _))| from.0 == gone)
+            .filter(|(_, (_, from, _))| from.0 == box_index)
             .map(|(ticket, _)| *ticket)
             .collect();
         for ticket in tickets {
@@ -227,7 +230,7 @@
         }
     }
 
-    /// Starts the engine anew with a version.
+    /// Restarts the engine with `version` loaded.
     pub fn restart(&mut self, version: ModelVersion) {
         let next = Incarnation::new(self.model.incarnation().get() + 1);
         self.model = EngineModel::new(self.settings, next, version);
@@ -236,10 +239,10 @@
 }
 
 impl EngineRun {
-    fn end(self, engine: &TargetId) -> EndedRun {
+    fn into_ended_run(self, engine: &TargetId) -> EndedRun {
         let slot = self.placement.assignment.slot;
-        let finished = self.trail.finish(TokenCount::new(self.tokens), self.digest.digest());
-        let end = match finished {
+        let finished = self.assembler.finish(TokenCount::new(self.tokens), self.digest.digest());
+        let outcome = match finished {
             Ok((spans, text)) if !self.broken => AttemptOutcome::Completed(Sample {
                 slot,
                 spans,
@@ -249,6 +252,6 @@
             }),
             _ => AttemptOutcome::Unusable,
         };
-        EndedRun { from: self.from, placement: self.placement, end }
+        EndedRun { from: self.from, placement: self.placement, outcome }
     }
 }
--- a/crates/sessions/src/events.rs
+++ b/crates/sessions/src/events.rs
@@ -1,4 +1,4 @@
-//! What happens in a session, in order of time.
+//! Events of a session and their queue.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -11,112 +11,112 @@
 
 use crate::faults::Fault;
 
-/// Names one attempt in the whole session.
+/// Id of an attempt, unique in the session.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RunId(pub u64);
 
-/// Position of a box in the session.
+/// Index of a box in the session.
 pub type BoxIndex = usize;
 
-/// What a trainer asks of a keeper.
+/// Request of a trainer to a keeper.
 #[derive(Debug, Clone)]
-pub enum Question {
+pub enum KeeperRequest {
     /// Opens the step.
     Open,
-    /// Pulls.
+    /// Pulls samples.
     Pull(Pull),
     /// Names a newer version.
     Advance(ModelVersion),
 }
 
-/// What a keeper answers.
+/// Reply of a keeper to a trainer.
 #[derive(Debug, Clone)]
-pub enum Reply {
-    /// The step is open.
+pub enum KeeperReply {
+    /// Reply to opening the step or naming a version.
     Opened(Result<KeptState, KeeperRefusal>),
-    /// Samples.
+    /// Reply to a pull.
     Pulled(Result<(PulledBatch, KeptState), KeeperRefusal>),
 }
 
-/// One event.
+/// An event of the session. A `u64` after a box index is the incarnation of that box.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// A box asked to be woken.
+    /// A timer of a box expires.
     BoxWake(BoxIndex),
     /// A lease action reaches the store.
     LeaseCall(BoxIndex, u64, LeaseAction),
-    /// The store's answer to a read reaches the box.
+    /// The store's response to a read reaches the box.
     LeaseRead(BoxIndex, u64, ReadOutcome),
-    /// The store's answer to a write reaches the box.
+    /// The store's response to a write reaches the box.
     LeaseWritten(BoxIndex, u64, WriteOutcome),
     /// Work reaches its target's home.
     WorkArrives(BoxIndex, u64, RunId, Placement),
-    /// An attempt's end reaches the keeper that placed it.
-    WorkEnds(BoxIndex, u64, Placement, AttemptOutcome, Option<TargetHint>),
-    /// An engine may have something to do.
+    /// The outcome of an attempt reaches the keeper that placed it.
+    AttemptEnded(BoxIndex, u64, Placement, AttemptOutcome, Option<TargetHint>),
+    /// The next step of an engine is due.
     EngineDue(TargetId),
-    /// The conductor looks around.
-    ConductorDue,
-    /// An order's outcome reaches the conductor.
-    OrderEnded(TargetId, Option<bool>),
-    /// A home reads its engine.
-    HomeReads(TargetId),
-    /// A reading of the conductor's comes back.
-    ConductorRead(TargetId, Moment, Option<(Incarnation, Option<ModelVersion>)>),
-    /// The trainer's question reaches a box; the number is the trainer's own.
-    Question(BoxIndex, u64, Question),
-    /// An answer reaches the trainer.
-    Reply(u64, Reply),
-    /// The trainer looks whether its question was answered.
+    /// The next poll of the rollout coordinator is due.
+    CoordinatorDue,
+    /// The outcome of an order reaches the rollout coordinator.
+    OrderCompleted(TargetId, Option<bool>),
+    /// The next read of an engine by its home is due.
+    HomeReadDue(TargetId),
+    /// The response to a read reaches the rollout coordinator; the time is that of the request.
+    CoordinatorRead(TargetId, Moment, Option<(Incarnation, Option<ModelVersion>)>),
+    /// A request of the trainer reaches a box; the number identifies the request.
+    Request(BoxIndex, u64, KeeperRequest),
+    /// A reply reaches the trainer; the number is that of the request.
+    Reply(u64, KeeperReply),
+    /// The next request of the trainer, or the timeout of the current one, is due.
     TrainerDue,
-    /// A predecessor's steps reach a successor.
+    /// The step snapshots of a stopping box reach its successor.
     HandOver(BoxIndex, Vec<StepSnapshot>, ids::FencingToken),
-    /// A fault begins or ends.
+    /// A fault starts or ends.
     Fault(Fault),
 }
 
-struct Due {
+struct ScheduledEvent {
     at: Moment,
     order: u64,
     event: Event,
 }
 
-impl PartialEq for Due {
+impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
         (self.at, self.order) == (other.at, other.order)
     }
 }
 
-impl Eq for Due {}
+impl Eq for ScheduledEvent {}
 
-impl PartialOrd for Due {
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Due {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.at, self.order).cmp(&(other.at, other.order))
     }
 }
 
-/// Events by time; those of one moment in the order they were made.
+/// Queue of events by time; events of the same time are in insertion order.
 #[derive(Default)]
 pub struct EventQueue {
-    heap: BinaryHeap<Reverse<Due>>,
-    made: u64,
+    heap: BinaryHeap<Reverse<ScheduledEvent>>,
+    pushed: u64,
 }
 
 impl EventQueue {
     /// Adds an event.
     pub fn push(&mut self, at: Moment, event: Event) {
-        self.made += 1;
-        self.heap.push(Reverse(Due { at, order: self.made, event }));
+        self.pushed += 1;
+        self.heap.push(Reverse(ScheduledEvent { at, order: self.pushed, event }));
     }
 
-    /// The next event.
+    /// Removes and returns the next event.
     pub fn pop(&mut self) -> Option<(Moment, Event)> {
-        self.heap.pop().map(|Reverse(due)| (due.at, due.event))
+        self.heap.pop().map(|Reverse(scheduled)| (scheduled.at, scheduled.event))
     }
 }
--- a/crates/sessions/src/faults.rs
+++ b/crates/sessions/src/faults.rs
@@ -1,55 +1,55 @@
-//! What goes wrong in a session.
+//! Faults that a session injects.
 
 use std::time::Duration;
 
 use ids::ModelVersion;
 
-/// One fault, at one moment.
+/// A fault. Indexes are those of boxes or engines, counts are numbers of affected messages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// A box loses all its memory and starts anew.
+    /// Restarts a box, which loses its memory.
     RestartBox(usize),
-    /// A box stops doing anything; messages to it wait.
+    /// Freezes a box; events for it are deferred.
     FreezeBox(usize),
-    /// A frozen box goes on.
+    /// Resumes a frozen box.
     ThawBox(usize),
-    /// A box stops as planned.
+    /// Stops a box as planned, with a handover to the next box.
     StopBox(usize),
-    /// The trainer and a box no longer reach each other.
-    CutBox(usize),
-    /// They do again.
-    HealBox(usize),
-    /// The store refuses every call.
+    /// Drops requests of the trainer to a box.
+    DisconnectBox(usize),
+    /// Ends `DisconnectBox`.
+    ReconnectBox(usize),
+    /// Makes the store fail every call.
     StoreDown,
-    /// The store answers again.
+    /// Ends `StoreDown`.
     StoreUp,
-    /// The next writes take effect and lose their answer.
-    LoseStoreAnswers(u32),
-    /// The next answers to the trainer are lost.
+    /// Loses the responses of the next writes, which take effect.
+    LoseStoreResponses(u32),
+    /// Loses the next replies to the trainer.
     LoseReplies(u32),
-    /// The next answers to the trainer come twice.
-    DoubleReplies(u32),
-    /// The trainer forgets what is under way, but not what it holds.
+    /// Delivers the next replies to the trainer twice.
+    DuplicateReplies(u32),
+    /// Restarts the trainer, which drops its current request and keeps its samples.
     RestartTrainer,
-    /// An engine starts anew with this version.
+    /// Restarts an engine with this version loaded.
     RestartEngine(usize, ModelVersion),
-    /// An engine's next order takes effect without an answer.
-    LoseOrderAnswer(usize),
-    /// An engine's next order is refused.
+    /// Loses the response of an engine's next order, which takes effect.
+    LoseOrderResponse(usize),
+    /// Makes an engine refuse its next order.
     RefuseOrder(usize),
-    /// An engine leaves stamps out of its next chunks.
+    /// Omits the stamps of an engine's next chunks.
     DropStamps(usize, u32),
-    /// An engine's streams under way break off.
-    CutStreams(usize),
-    /// An engine says that it is leaving.
-    LeaveEngine(usize),
-    /// The trainer itself names this version.
+    /// Breaks the running streams of an engine.
+    BreakStreams(usize),
+    /// Makes an engine report that it is leaving.
+    MarkEngineLeaving(usize),
+    /// Makes the trainer name this version.
     AdvanceTrainer(ModelVersion),
-    /// The pool names this version from now on.
+    /// Changes the pool to name this version.
     NameVersion(ModelVersion),
 }
 
-/// Faults and when they come, counted from the start.
+/// Faults with their times since the start of the session.
 #[derive(Debug, Clone, Default)]
 pub struct FaultPlan {
     faults: Vec<(Duration, Fault)>,
@@ -63,7 +63,7 @@
         self
     }
 
-    /// The faults in the order given.
+    /// Returns the faults in insertion order.
     pub fn into_faults(self) -> Vec<(Duration, Fault)> {
         self.faults
     }
--- a/crates/sessions/src/lib.rs
+++ b/crates/sessions/src/lib.rs
@@ -1,19 +1,18 @@
-//! Whole sessions of the real decision code against small fakes, on the runtime's clock.
+//! Deterministic sessions of the real decision code against fakes, on the runtime's clock.
 //!
-//! A [`World`] joins keepers, admission queues, a swap conductor and a trainer's intake with
-//! fakes at their interfaces: a store that loses answers, engines that swap, a network that
-//! takes time. It runs one event after the other, so a seed gives the same session every time.
-//! It is a measuring stick for the decisions, not a simulator of clusters: no sockets, no
-//! processes, no message formats.
+//! A [`World`] connects keepers, admission queues, a rollout coordinator and a trainer's receiver
+//! to fakes: a store that loses responses, engines that swap weights, a network with delays. It
+//! handles events one at a time, so a seed always gives the same session. It tests decisions
+//! only: there are no sockets, processes or message formats.
 
+mod checker;
 mod engine;
 mod events;
 mod faults;
 mod store;
 mod trainer;
-mod truth;
 mod world;
 
+pub use checker::Verdict;
 pub use faults::{Fault, FaultPlan};
-pub use truth::Verdict;
 pub use world::{World, WorldPlan};
--- a/crates/sessions/src/store.rs
+++ b/crates/sessions/src/store.rs
@@ -1,17 +1,17 @@
-//! A lease object with versions, outages and lost answers.
+//! A fake store with one lease object, outages and lost responses.
 
 use coord::lease::{LeaseRecord, ReadOutcome, VersionedLease, WriteOutcome};
 use ids::ObjectVersion;
 
-/// The one lease of a session.
+/// The lease of the session.
 #[derive(Debug, Default)]
 pub struct LeaseStore {
     object: Option<VersionedLease>,
     versions: u64,
-    /// Every call is refused.
+    /// Whether all calls fail.
     pub down: bool,
-    /// This many writes take effect and lose their answer.
-    pub lose_answers: u32,
+    /// Number of next writes that take effect but whose response is lost.
+    pub responses_to_lose: u32,
 }
 
 impl LeaseStore {
@@ -35,8 +35,8 @@
         self.versions += 1;
         let version = ObjectVersion::new(self.versions);
         self.object = Some(VersionedLease { version, record });
-        if self.lose_answers > 0 {
-            self.lose_answers -= 1;
+        if self.responses_to_lose > 0 {
+            self.responses_to_lose -= 1;
             return WriteOutcome::Unknown;
         }
         WriteOutcome::Applied(version)
--- a/crates/sessions/src/trainer.rs
+++ b/crates/sessions/src/trainer.rs
@@ -1,115 +1,115 @@
-//! A trainer that pulls its step, as the client library does.
+//! A simulated trainer that pulls its step in the same way as the client library.
 
 use ids::{ModelVersion, Moment};
 use ledger::{Pull, ReceivedBatch, StepReceiver, StepSpec};
 
-use crate::events::{BoxIndex, Question, Reply};
+use crate::events::{BoxIndex, KeeperReply, KeeperRequest};
 
-/// Most samples of one pull.
-const MOST: usize = 16;
+/// Maximum number of samples per pull.
+const MAX_SAMPLES: usize = 16;
 
-/// The trainer's side of a session.
+/// State of the trainer.
 #[derive(Debug)]
 pub struct SimTrainer {
-    /// What it holds.
-    pub intake: StepReceiver,
-    /// The box it asks now.
-    pub asks: BoxIndex,
-    question: u64,
-    asked_at: Option<Moment>,
+    /// Receiver of the step, with the accepted samples.
+    pub receiver: StepReceiver,
+    /// The box that gets its requests.
+    pub current_box: BoxIndex,
+    request_number: u64,
+    requested_at: Option<Moment>,
     opened: bool,
-    /// Times it opened the step again.
+    /// Number of times it reopened the step.
     pub reopened: u32,
 }
 
-/// What a reply brought.
+/// Result of handling a reply.
 #[derive(Debug)]
-pub enum Brought {
-    /// Nothing; it was late, refused or empty.
+pub enum ReplyOutcome {
+    /// No batch: the reply was late, a refusal, under an old token or not a reply to a pull.
     Nothing,
-    /// Samples, judged by the intake.
+    /// A batch of samples, as accepted by the receiver; may be empty.
     Samples(ReceivedBatch),
 }
 
 impl SimTrainer {
-    /// A trainer that holds nothing.
+    /// Creates a trainer without samples.
     pub fn new(spec: StepSpec) -> Self {
         Self {
-            intake: StepReceiver::new(spec),
-            asks: 0,
-            question: 0,
-            asked_at: None,
+            receiver: StepReceiver::new(spec),
+            current_box: 0,
+            request_number: 0,
+            requested_at: None,
             opened: false,
             reopened: 0,
         }
     }
 
-    /// When the question under way was asked.
-    pub const fn asked_at(&self) -> Option<Moment> {
-        self.asked_at
+    /// Returns when the pending request was sent.
+    pub const fn requested_at(&self) -> Option<Moment> {
+        self.requested_at
     }
 
-    /// Gives up the question under way, if any, and asks the next.
-    pub fn ask(&mut self, now: Moment) -> (u64, Question) {
-        self.question += 1;
-        self.asked_at = Some(now);
-        let question = if self.opened {
-            Question::Pull(Pull {
-                held: self.intake.held().clone(),
-                seen: self.intake.seen(),
-                max_samples: MOST,
+    /// Returns the next request and its number; replaces the pending one.
+    pub fn next_request(&mut self, now: Moment) -> (u64, KeeperRequest) {
+        self.request_number += 1;
+        self.requested_at = Some(now);
+        let request = if self.opened {
+            KeeperRequest::Pull(Pull {
+                held: self.receiver.held().clone(),
+                seen: self.receiver.seen(),
+                max_samples: MAX_SAMPLES,
             })
         } else {
-            Question::Open
+            KeeperRequest::Open
         };
-        (self.question, question)
+        (self.request_number, request)
     }
 
-    /// Turns to another box.
-    pub const fn turn_to(&mut self, asks: BoxIndex) {
-        self.asks = asks;
-        self.asked_at = None;
+    /// Sends further requests to another box; drops the pending one.
+    pub const fn switch_to(&mut self, current_box: BoxIndex) {
+        self.current_box = current_box;
+        self.requested_at = None;
     }
 
-    /// Forgets what is under way, as a restart does; what it holds is on its own disk.
+    /// Restarts: drops the pending request, keeps the accepted samples (they are on disk).
     pub const fn restart(&mut self) {
         self.opened = false;
-        self.asked_at = None;
-        self.question += 1_000;
+        self.requested_at = None;
+        self.request_number += 1_000;
     }
 
-    /// Names a newer version, in place of the question under way.
-    pub fn advance(&mut self, now: Moment, version: ModelVersion) -> (u64, Question) {
-        self.intake.advance(version);
-        self.question += 1;
-        self.asked_at = Some(now);
-        (self.question, Question::Advance(version))
+    /// Names a newer version; replaces the pending request.
+    pub fn advance(&mut self, now: Moment, version: ModelVersion) -> (u64, KeeperRequest) {
+        self.receiver.advance(version);
+        self.request_number += 1;
+        self.requested_at = Some(now);
+        (self.request_number, KeeperRequest::Advance(version))
     }
 
-    /// Takes a reply; one to an earlier question is late and dropped.
-    pub fn reply(&mut self, question: u64, reply: Reply) -> Brought {
-        if question != self.question {
-            return Brought::Nothing;
+    /// Handles a reply; drops replies to earlier requests.
+    pub fn handle_reply(&mut self, request_number: u64, reply: KeeperReply) -> ReplyOutcome {
+        if request_number != self.request_number {
+            return ReplyOutcome::Nothing;
         }
-        self.asked_at = None;
+        self.requested_at = None;
         match reply {
-            Reply::Opened(Ok(_)) => {
+            KeeperReply::Opened(Ok(_)) => {
                 self.opened = true;
-                Brought::Nothing
+                ReplyOutcome::Nothing
             }
-            Reply::Pulled(Ok((out, state))) => {
-                let samples = out.samples.iter().map(|sample| (**sample).clone()).collect();
-                match self.intake.accept(state.token, state.rule, samples) {
-                    Ok(intake) => Brought::Samples(intake),
-                    Err(_older_token) => Brought::Nothing,
+            KeeperReply::Pulled(Ok((batch, state))) => {
+                let samples = batch.samples.iter().map(|sample| (**sample).clone()).collect();
+                match self.receiver.accept(state.token, state.rule, samples) {
+                    Ok(accepted) => ReplyOutcome::Samples(accepted),
+                    Err(_older_token) => ReplyOutcome::Nothing,
                 }
             }
-            Reply::Opened(Err(refusal)) | Reply::Pulled(Err(refusal)) => {
+            KeeperReply::Opened(Err(refusal)) | KeeperReply::Pulled(Err(refusal)) => {
                 if matches!(refusal, keeping::KeeperRefusal::NotOpen { .. }) {
                     self.opened = false;
                     self.reopened += 1;
                 }
-                Brought::Nothing
+                ReplyOutcome::Nothing
             }
         }
     }
--- a/crates/sessions/src/world.rs
+++ b/crates/sessions/src/world.rs
@@ -1,8 +1,8 @@
-//! The session itself: events in, decisions by the real code, events out.
+//! The event loop of a session, which passes events to the decision code and the fakes.
 
 mod boxes;
 mod faults;
-mod swaps;
+mod rollout;
 mod targets;
 mod trainer;
 
@@ -20,43 +20,43 @@
 use standins::engine_model::EngineSettings;
 use tokio::time::{self, Instant};
 
-use crate::engine::EngineSite;
+use crate::checker::{SessionChecker, Verdict};
+use crate::engine::SimEngine;
 use crate::events::{BoxIndex, Event, EventQueue, RunId};
 use crate::faults::FaultPlan;
 use crate::store::LeaseStore;
 use crate::trainer::SimTrainer;
-use crate::truth::{Truth, Verdict};
 
-/// What a session is made of.
+/// Settings of a session.
 #[derive(Debug, Clone, Copy)]
 pub struct WorldPlan {
-    /// Seeds chance.
+    /// Seed of the random generator.
     pub seed: u64,
-    /// Boxes that may keep the step.
+    /// Number of boxes that may become keeper of the step.
     pub boxes: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Groups of the step.
+    /// Number of groups in the step.
     pub groups: u16,
-    /// Samples of each group.
+    /// Number of samples per group.
     pub samples: u16,
-    /// Requests at work at one engine.
+    /// Maximum number of concurrent requests at one engine.
     pub per_engine: u32,
-    /// Samples of the trainer at work over all engines.
+    /// Maximum number of concurrent requests of the trainer over all engines.
     pub per_trainer: u32,
     /// Term of the keeper's lease.
     pub term: Duration,
-    /// How engines behave.
+    /// Settings of the fake engines.
     pub engine: EngineSettings,
-    /// How versions roll out.
+    /// Rollout policy for new versions.
     pub swap: SwapPolicy,
-    /// Shortest way of a message.
+    /// Minimum delay of a message.
     pub delay: Duration,
-    /// Most that chance adds to it.
+    /// Maximum random addition to `delay`.
     pub jitter: Duration,
-    /// Pause before a trainer asks again after an empty reply.
-    pub ask_pause: Duration,
-    /// When a session that is not complete is given up.
+    /// Pause between a reply and the next request of the trainer.
+    pub request_pause: Duration,
+    /// Time after which an incomplete session ends.
     pub limit: Duration,
 }
 
@@ -80,19 +80,19 @@
             swap: SwapPolicy::Rolling { at_once: 1 },
             delay: Duration::from_millis(1),
             jitter: Duration::from_millis(2),
-            ask_pause: Duration::from_millis(50),
+            request_pause: Duration::from_millis(50),
             limit: Duration::from_mins(2),
         }
     }
 }
 
 impl WorldPlan {
-    /// The prompt of a group, another for each seed.
+    /// Returns the prompt of a group, which differs between seeds.
     pub fn prompt(&self, group: u64) -> String {
         format!("prompt {group} of {}", self.seed)
     }
 
-    /// Engines, to count with.
+    /// Returns the number of engines as a float.
     pub fn engines_f64(&self) -> f64 {
         f64::from(u32::try_from(self.engines).unwrap_or(u32::MAX))
     }
@@ -100,17 +100,17 @@
 
 #[derive(Debug)]
 struct SimBox<C> {
-    life: u64,
+    incarnation: u64,
     keeper: Option<StepKeeper<ChaCha8Rng, C>>,
     frozen: bool,
-    cut: bool,
+    disconnected: bool,
     stopped: bool,
-    held_back: Vec<Event>,
+    deferred_events: Vec<Event>,
     wake_at: Option<Moment>,
-    acting: Option<FencingToken>,
+    acting_token: Option<FencingToken>,
 }
 
-/// A session.
+/// A session: boxes, engines, a store, a rollout coordinator and a trainer.
 #[derive(Debug)]
 pub struct World<C = TargetChooser> {
     plan: WorldPlan,
@@ -118,21 +118,21 @@
     rng: ChaCha8Rng,
     store: LeaseStore,
     boxes: Vec<SimBox<C>>,
-    engines: Vec<EngineSite>,
-    conductor: RolloutCoordinator,
+    engines: Vec<SimEngine>,
+    coordinator: RolloutCoordinator,
     trainer: SimTrainer,
-    avoid: BTreeMap<BoxIndex, Moment>,
+    failed_at: BTreeMap<BoxIndex, Moment>,
     pool: PoolSpec,
     generation: Generation,
-    truth: Truth,
+    checker: SessionChecker,
     runs: BTreeMap<RunId, (SlotIndex, TargetId)>,
     next_run: u64,
-    lose_replies: u32,
-    double_replies: u32,
-    lines: Vec<String>,
+    replies_to_lose: u32,
+    replies_to_duplicate: u32,
+    transcript_lines: Vec<String>,
 }
 
-/// The queue; its events are too many to print.
+/// Wraps the event queue to keep its events out of `Debug` output.
 struct EventQueueDebug(EventQueue);
 
 impl std::fmt::Debug for EventQueueDebug {
@@ -141,32 +141,32 @@
     }
 }
 
-fn name<T: std::str::FromStr<Err: std::fmt::Debug>>(text: &str) -> T {
-    text.parse().expect("names in sessions are ids")
+fn parse_id<T: std::str::FromStr<Err: std::fmt::Debug>>(text: &str) -> T {
+    text.parse().expect("names in sessions are valid ids")
 }
 
 fn box_name(index: BoxIndex) -> String {
     format!("box-{}", index + 1)
 }
 
-/// A sample's slot and the versions that made it.
-fn shown(sample: &Sample) -> String {
+/// Formats a sample's slot and the versions that generated it.
+fn format_sample(sample: &Sample) -> String {
     let versions: Vec<String> =
         sample.spans.iter().map(|span| format!("v{}", span.version)).collect();
     format!("slot {} by {}", sample.slot, versions.join("+"))
 }
 
 impl<C: PlacementPolicy + Default> World<C> {
-    /// A session at its start.
+    /// Creates a session at its start.
     pub fn new(plan: WorldPlan, faults: FaultPlan) -> Self {
         let engines: Vec<TargetId> =
-            (0..plan.engines).map(|index| name(&format!("engine-{}", index + 1))).collect();
+            (0..plan.engines).map(|index| parse_id(&format!("engine-{}", index + 1))).collect();
         let pool = PoolSpec {
-            name: name("layout"),
+            name: parse_id("layout"),
             version: ModelVersion::new(1),
             staleness_bound: 1,
             favours: PoolObjective::Staleness,
-            trainers: vec![name("press-1")],
+            trainers: vec![parse_id("press-1")],
             engines: engines.clone(),
             scorers: Vec::new(),
             limits: PoolLimits { per_engine: plan.per_engine, per_trainer: plan.per_trainer },
@@ -182,42 +182,42 @@
             version: ModelVersion::new(1),
             groups: groups.collect(),
         };
-        let site = |id| EngineSite::new(id, plan.engine, plan.per_engine as usize);
+        let new_engine = |id| SimEngine::new(id, plan.engine, plan.per_engine as usize);
         let mut world = Self {
             plan,
             queue: EventQueueDebug(EventQueue::default()),
             rng: ChaCha8Rng::seed_from_u64(plan.seed),
             store: LeaseStore::default(),
             boxes: (0..plan.boxes).map(|_| SimBox::new()).collect(),
-            engines: engines.into_iter().map(site).collect(),
-            conductor: RolloutCoordinator::new(Moment::START, FencingToken::new(1)),
+            engines: engines.into_iter().map(new_engine).collect(),
+            coordinator: RolloutCoordinator::new(Moment::START, FencingToken::new(1)),
             trainer: SimTrainer::new(spec),
-            avoid: BTreeMap::new(),
+            failed_at: BTreeMap::new(),
             pool,
             generation: Generation::new(1),
-            truth: Truth::default(),
+            checker: SessionChecker::default(),
             runs: BTreeMap::new(),
             next_run: 0,
-            lose_replies: 0,
-            double_replies: 0,
-            lines: Vec::new(),
+            replies_to_lose: 0,
+            replies_to_duplicate: 0,
+            transcript_lines: Vec::new(),
         };
-        world.push_first(faults);
+        world.schedule_initial_events(faults);
         world
     }
 
-    fn push_first(&mut self, faults: FaultPlan) {
+    fn schedule_initial_events(&mut self, faults: FaultPlan) {
         for (after, fault) in faults.into_faults() {
             self.queue.0.push(Moment::START + after, Event::Fault(fault));
         }
         for engine in &self.engines {
-            self.queue.0.push(Moment::START, Event::HomeReads(engine.id.clone()));
+            self.queue.0.push(Moment::START, Event::HomeReadDue(engine.id.clone()));
         }
-        self.queue.0.push(Moment::START, Event::ConductorDue);
+        self.queue.0.push(Moment::START, Event::CoordinatorDue);
         self.queue.0.push(Moment::START + self.plan.delay, Event::TrainerDue);
     }
 
-    /// Runs until the step is complete or the limit has passed, on the runtime's clock.
+    /// Runs until the step is complete or the time limit is reached, on the runtime's clock.
     pub async fn run(&mut self) -> Verdict {
         let started = Instant::now();
         while let Some((at, event)) = self.queue.0.pop() {
@@ -226,54 +226,54 @@
                 return verdict;
             }
         }
-        self.given_up()
+        self.timeout_verdict()
     }
 
-    /// Runs likewise without any clock, event after event; for measurements.
-    pub fn run_at_once(&mut self) -> Verdict {
+    /// Like [`Self::run`], but handles events immediately, without a clock; for benchmarks.
+    pub fn run_without_clock(&mut self) -> Verdict {
         while let Some((at, event)) = self.queue.0.pop() {
             if let Some(verdict) = self.step(at, event) {
                 return verdict;
             }
         }
-        self.given_up()
+        self.timeout_verdict()
     }
 
     fn step(&mut self, at: Moment, event: Event) -> Option<Verdict> {
         if at > Moment::START + self.plan.limit {
-            return Some(self.given_up());
+            return Some(self.timeout_verdict());
         }
         self.handle(at, event);
-        if !self.trainer.intake.is_complete() {
+        if !self.trainer.receiver.is_complete() {
             return None;
         }
-        self.say(at, "trainer holds every slot");
+        self.log_event(at, "trainer has all samples");
         self.close(at);
-        Some(self.truth.verdict(true, at, self.trainer.reopened))
+        Some(self.checker.verdict(true, at, self.trainer.reopened))
     }
 
-    fn given_up(&self) -> Verdict {
+    fn timeout_verdict(&self) -> Verdict {
         let limit = Moment::START + self.plan.limit;
-        self.truth.verdict(false, limit, self.trainer.reopened)
+        self.checker.verdict(false, limit, self.trainer.reopened)
     }
 
     fn close(&mut self, now: Moment) {
-        let (step, seen) = (self.trainer.intake.spec().step, self.trainer.intake.seen());
-        let index = self.trainer.asks;
+        let (step, seen) = (self.trainer.receiver.spec().step, self.trainer.receiver.seen());
+        let index = self.trainer.current_box;
         if let Some(keeper) = &mut self.boxes[index].keeper
             && keeper.close(now, step, seen).is_ok()
         {
-            self.say(now, format!("{} closed the step", box_name(index)));
+            self.log_event(now, format!("{} closed the step", box_name(index)));
         }
     }
 
-    /// The session as a story, a line for each telling event.
-    pub fn story(&self) -> String {
-        self.lines.join("\n")
+    /// Returns the log of the session, one line per notable event.
+    pub fn transcript(&self) -> String {
+        self.transcript_lines.join("\n")
     }
 
-    fn say(&mut self, now: Moment, what: impl AsRef<str>) {
-        self.lines.push(format!("{now} {}", what.as_ref()));
+    fn log_event(&mut self, now: Moment, message: impl AsRef<str>) {
+        self.transcript_lines.push(format!("{now} {}", message.as_ref()));
     }
 
     fn delay(&mut self) -> Duration {
@@ -290,37 +290,39 @@
         match event {
             Event::BoxWake(index) => {
                 if self.boxes[index].wake_at == Some(now) {
-                    self.at_box(now, index, Event::BoxWake(index));
+                    self.deliver_to_box(now, index, Event::BoxWake(index));
                 }
             }
-            Event::LeaseCall(index, life, action) => self.at_store(now, index, life, action),
-            Event::LeaseRead(index, life, _)
-            | Event::LeaseWritten(index, life, _)
-            | Event::WorkEnds(index, life, ..) => {
-                if self.boxes[index].life == life {
-                    self.at_box(now, index, event);
+            Event::LeaseCall(index, incarnation, action) => {
+                self.call_store(now, index, incarnation, action);
+            }
+            Event::LeaseRead(index, incarnation, _)
+            | Event::LeaseWritten(index, incarnation, _)
+            | Event::AttemptEnded(index, incarnation, ..) => {
+                if self.boxes[index].incarnation == incarnation {
+                    self.deliver_to_box(now, index, event);
                 }
             }
-            Event::WorkArrives(index, life, run, placement) => {
-                self.at_home(now, (index, life), run, placement);
+            Event::WorkArrives(index, incarnation, run, placement) => {
+                self.admit_work(now, (index, incarnation), run, placement);
             }
-            Event::EngineDue(id) => self.at_engine(now, &id),
-            Event::HomeReads(id) => self.read_engine(now, &id),
-            Event::ConductorDue => self.conduct(now),
-            Event::OrderEnded(id, outcome) => self.order_ended(now, &id, outcome),
-            Event::ConductorRead(id, asked_at, reading) => {
-                self.conductor_read(now, &id, asked_at, reading);
+            Event::EngineDue(id) => self.advance_engine(now, &id),
+            Event::HomeReadDue(id) => self.read_engine(now, &id),
+            Event::CoordinatorDue => self.poll_coordinator(now),
+            Event::OrderCompleted(id, outcome) => self.handle_order_outcome(now, &id, outcome),
+            Event::CoordinatorRead(id, requested_at, reading) => {
+                self.handle_coordinator_read(now, &id, requested_at, reading);
             }
-            Event::Question(index, number, question) => {
-                let reachable = !self.boxes[index].cut && !self.boxes[index].stopped;
+            Event::Request(index, number, request) => {
+                let reachable = !self.boxes[index].disconnected && !self.boxes[index].stopped;
                 if reachable {
-                    self.at_box(now, index, Event::Question(index, number, question));
+                    self.deliver_to_box(now, index, Event::Request(index, number, request));
                 }
             }
-            Event::Reply(number, reply) => self.at_trainer(now, number, reply),
-            Event::TrainerDue => self.trainer_due(now),
-            Event::HandOver(index, ..) => self.at_box(now, index, event),
-            Event::Fault(fault) => self.fault(now, fault),
+            Event::Reply(number, reply) => self.handle_reply(now, number, reply),
+            Event::TrainerDue => self.handle_trainer_due(now),
+            Event::HandOver(index, ..) => self.deliver_to_box(now, index, event),
+            Event::Fault(fault) => self.inject_fault(now, fault),
         }
     }
 }
@@ -328,14 +330,14 @@
 impl<C> SimBox<C> {
     const fn new() -> Self {
         Self {
-            life: 1,
+            incarnation: 1,
             keeper: None,
             frozen: false,
-            cut: false,
+            disconnected: false,
             stopped: false,
-            held_back: Vec::new(),
+            deferred_events: Vec::new(),
             wake_at: None,
-            acting: None,
+            acting_token: None,
         }
     }
 }
--- a/crates/sessions/src/world/boxes.rs
+++ b/crates/sessions/src/world/boxes.rs
@@ -1,4 +1,4 @@
-//! Boxes and their keepers, and the store they lease from.
+//! Boxes with their keepers, and calls to the lease store.
 
 use coord::lease::LeaseAction;
 use ids::{BoxId, Incarnation, Moment};
@@ -8,56 +8,56 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-use super::{World, box_name, name, shown};
-use crate::events::{BoxIndex, Event, Question, Reply, RunId};
+use super::{World, box_name, format_sample, parse_id};
+use crate::events::{BoxIndex, Event, KeeperReply, KeeperRequest, RunId};
 
 impl<C: PlacementPolicy + Default> World<C> {
-    pub(super) fn at_box(&mut self, now: Moment, index: BoxIndex, event: Event) {
-        let site = &mut self.boxes[index];
-        if site.stopped {
+    pub(super) fn deliver_to_box(&mut self, now: Moment, index: BoxIndex, event: Event) {
+        let sim_box = &mut self.boxes[index];
+        if sim_box.stopped {
             return;
         }
-        if site.frozen {
-            site.held_back.push(event);
+        if sim_box.frozen {
+            sim_box.deferred_events.push(event);
             return;
         }
         match event {
             Event::LeaseRead(_, _, outcome) => {
-                if let Some(keeper) = &mut site.keeper {
+                if let Some(keeper) = &mut sim_box.keeper {
                     keeper.lease_read(now, outcome);
                 }
             }
             Event::LeaseWritten(_, _, outcome) => {
-                if let Some(keeper) = &mut site.keeper {
+                if let Some(keeper) = &mut sim_box.keeper {
                     keeper.lease_written(now, outcome);
                 }
             }
-            Event::WorkEnds(_, _, placement, end, hint) => {
-                if let Some(keeper) = &mut site.keeper {
-                    keeper.attempt_ended(now, &placement, end, hint);
+            Event::AttemptEnded(_, _, placement, outcome, hint) => {
+                if let Some(keeper) = &mut sim_box.keeper {
+                    keeper.attempt_ended(now, &placement, outcome, hint);
                 }
             }
-            Event::Question(_, number, question) => self.answer(now, index, number, question),
+            Event::Request(_, number, request) => self.handle_request(now, index, number, request),
             Event::HandOver(_, snapshots, token) => {
-                self.keeper(now, index).adopt(now, snapshots, token);
+                self.ensure_keeper(now, index).adopt(now, snapshots, token);
             }
             _ => {}
         }
-        self.drive(now, index);
+        self.run_keeper(now, index);
     }
 
-    pub(super) fn keeper(
+    pub(super) fn ensure_keeper(
         &mut self,
         now: Moment,
         index: BoxIndex,
     ) -> &mut StepKeeper<ChaCha8Rng, C> {
         let seed = self.rng.random();
         let (plan, pool, generation) = (&self.plan, &self.pool, &self.generation);
-        let site = &mut self.boxes[index];
-        site.keeper.get_or_insert_with(|| {
+        let sim_box = &mut self.boxes[index];
+        sim_box.keeper.get_or_insert_with(|| {
             let settings = KeeperSettings {
-                me: name::<BoxId>(&box_name(index)),
-                incarnation: Incarnation::new(site.life),
+                me: parse_id::<BoxId>(&box_name(index)),
+                incarnation: Incarnation::new(sim_box.incarnation),
                 address: box_name(index),
                 term: plan.term,
                 pool: pool.name.clone(),
@@ -74,98 +74,115 @@
         })
     }
 
-    pub(super) fn answer(&mut self, now: Moment, index: BoxIndex, number: u64, question: Question) {
-        let spec = self.trainer.intake.spec().clone();
+    pub(super) fn handle_request(
+        &mut self,
+        now: Moment,
+        index: BoxIndex,
+        number: u64,
+        request: KeeperRequest,
+    ) {
+        let spec = self.trainer.receiver.spec().clone();
         let step = spec.step;
-        let (held, seen) = (self.trainer.intake.held().clone(), self.trainer.intake.seen());
-        let keeper = self.keeper(now, index);
-        let reply = match question {
-            Question::Open => Reply::Opened(keeper.open(now, spec, &held, seen)),
-            Question::Pull(pull) => Reply::Pulled(keeper.pull(now, step, &pull)),
-            Question::Advance(version) => Reply::Opened(keeper.advance(now, step, version, seen)),
+        let (held, seen) = (self.trainer.receiver.held().clone(), self.trainer.receiver.seen());
+        let keeper = self.ensure_keeper(now, index);
+        let reply = match request {
+            KeeperRequest::Open => KeeperReply::Opened(keeper.open(now, spec, &held, seen)),
+            KeeperRequest::Pull(pull) => KeeperReply::Pulled(keeper.pull(now, step, &pull)),
+            KeeperRequest::Advance(version) => {
+                KeeperReply::Opened(keeper.advance(now, step, version, seen))
+            }
         };
-        self.reply(now, number, reply);
+        self.send_reply(now, number, reply);
     }
 
-    pub(super) fn reply(&mut self, now: Moment, number: u64, reply: Reply) {
-        if let Reply::Opened(Ok(state)) = &reply {
+    pub(super) fn send_reply(&mut self, now: Moment, number: u64, reply: KeeperReply) {
+        if let KeeperReply::Opened(Ok(state)) = &reply {
             let (slots, named) = (state.progress.slots, state.named);
-            self.say(now, format!("step open: {slots} slots, version {named} named"));
+            self.log_event(now, format!("step open: {slots} slots, version {named} named"));
         }
-        if let Reply::Pulled(Ok((out, state))) = &reply
-            && !out.samples.is_empty()
+        if let KeeperReply::Pulled(Ok((batch, state))) = &reply
+            && !batch.samples.is_empty()
         {
-            let slots: Vec<String> = out.samples.iter().map(|sample| shown(sample)).collect();
-            let line = format!("handed out under token {}: {}", state.token, slots.join(", "));
-            self.say(now, line);
+            let slots: Vec<String> =
+                batch.samples.iter().map(|sample| format_sample(sample)).collect();
+            let line = format!("delivered with token {}: {}", state.token, slots.join(", "));
+            self.log_event(now, line);
         }
-        if self.lose_replies > 0 {
-            self.lose_replies -= 1;
-            self.say(now, "the reply is lost");
+        if self.replies_to_lose > 0 {
+            self.replies_to_lose -= 1;
+            self.log_event(now, "reply lost");
             return;
         }
-        if self.double_replies > 0 {
-            self.double_replies -= 1;
+        if self.replies_to_duplicate > 0 {
+            self.replies_to_duplicate -= 1;
             self.send(now, Event::Reply(number, reply.clone()));
         }
         self.send(now, Event::Reply(number, reply));
     }
 
-    /// Carries out what a box's keeper wants done.
-    pub(super) fn drive(&mut self, now: Moment, index: BoxIndex) {
-        let site = &mut self.boxes[index];
-        let life = site.life;
-        let Some(keeper) = &mut site.keeper else { return };
+    /// Performs the pending actions of a box's keeper and schedules its next wake-up.
+    pub(super) fn run_keeper(&mut self, now: Moment, index: BoxIndex) {
+        let sim_box = &mut self.boxes[index];
+        let incarnation = sim_box.incarnation;
+        let Some(keeper) = &mut sim_box.keeper else { return };
         let actions = keeper.poll(now);
         let wake = keeper.next_at(now);
-        let acting = keeper.acting_token();
-        if acting != site.acting {
-            site.acting = acting;
-            let said = match acting {
-                Some(token) => format!("{} keeps the step under token {token}", box_name(index)),
-                None => format!("{} stepped down", box_name(index)),
+        let acting_token = keeper.acting_token();
+        if acting_token != sim_box.acting_token {
+            sim_box.acting_token = acting_token;
+            let message = match acting_token {
+                Some(token) => format!("{} is keeper with token {token}", box_name(index)),
+                None => format!("{} is no longer keeper", box_name(index)),
             };
-            self.say(now, said);
+            self.log_event(now, message);
         }
         for action in actions {
             match action {
                 KeeperAction::Lease(action) => {
-                    self.send(now, Event::LeaseCall(index, life, action));
+                    self.send(now, Event::LeaseCall(index, incarnation, action));
+                }
+                KeeperAction::Start(placement) => {
+                    self.start_work(now, index, incarnation, placement);
                 }
-                KeeperAction::Start(placement) => self.place(now, index, life, placement),
             }
         }
         if wake < Moment::START + self.plan.limit {
-            // At least a little later, so that time moves on.
+            // A wake-up at `now` could loop without advancing time.
             let at = wake.max(now + Duration::from_millis(1));
-            let site = &mut self.boxes[index];
-            if site.wake_at.is_none_or(|known| at < known || known <= now) {
-                site.wake_at = Some(at);
+            let sim_box = &mut self.boxes[index];
+            if sim_box.wake_at.is_none_or(|scheduled| at < scheduled || scheduled <= now) {
+                sim_box.wake_at = Some(at);
                 self.queue.0.push(at, Event::BoxWake(index));
             }
         }
     }
 
-    pub(super) fn place(&mut self, now: Moment, index: BoxIndex, life: u64, placement: Placement) {
+    pub(super) fn start_work(
+        &mut self,
+        now: Moment,
+        index: BoxIndex,
+        incarnation: u64,
+        placement: Placement,
+    ) {
         let run = RunId(self.next_run);
         self.next_run += 1;
         let slot = placement.assignment.slot;
         self.runs.insert(run, (slot, placement.target.clone()));
-        self.say(now, format!("slot {slot} placed at {}", placement.target));
-        self.send(now, Event::WorkArrives(index, life, run, placement));
+        self.log_event(now, format!("slot {slot} placed at {}", placement.target));
+        self.send(now, Event::WorkArrives(index, incarnation, run, placement));
     }
 
-    pub(super) fn at_store(
+    pub(super) fn call_store(
         &mut self,
         now: Moment,
         index: BoxIndex,
-        life: u64,
+        incarnation: u64,
         action: LeaseAction,
     ) {
         let event = match action {
-            LeaseAction::Read => Event::LeaseRead(index, life, self.store.read()),
+            LeaseAction::Read => Event::LeaseRead(index, incarnation, self.store.read()),
             LeaseAction::Write { expect, record } => {
-                Event::LeaseWritten(index, life, self.store.write(expect, record))
+                Event::LeaseWritten(index, incarnation, self.store.write(expect, record))
             }
         };
         self.send(now, event);
--- a/crates/sessions/src/world/targets.rs
+++ b/crates/sessions/src/world/targets.rs
@@ -1,4 +1,4 @@
-//! Homes and engines.
+//! Engines and the admission of work at their homes.
 
 use std::time::Duration;
 
@@ -7,57 +7,57 @@
 use placement::{Admission, AdmissionRequest, PlacementPolicy, QueueEvent, Refusal};
 
 use super::World;
-use crate::engine::{EndedRun, EngineSite};
+use crate::engine::{EndedRun, SimEngine};
 use crate::events::{BoxIndex, Event, RunId};
 
-/// Time between a home's readings of its engine.
-const READ_EVERY: Duration = Duration::from_millis(100);
-/// How long work may wait at its home.
-const QUEUE_WAIT: Duration = Duration::from_secs(5);
+/// Interval at which a home reads the state of its engine.
+const READ_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum time that work waits for admission at its home.
+const QUEUE_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl<C: PlacementPolicy + Default> World<C> {
-    pub(super) fn engine(&mut self, id: &TargetId) -> &mut EngineSite {
+    pub(super) fn engine(&mut self, id: &TargetId) -> &mut SimEngine {
         let found = self.engines.iter_mut().find(|engine| engine.id == *id);
-        found.expect("work goes to engines of the session")
+        found.expect("work is placed only at engines of the session")
     }
 
-    pub(super) fn at_home(
+    pub(super) fn admit_work(
         &mut self,
         now: Moment,
         from: (BoxIndex, u64),
         run: RunId,
         placement: Placement,
     ) {
-        if self.boxes[from.0].life != from.1 {
+        if self.boxes[from.0].incarnation != from.1 {
             return;
         }
-        let ask = AdmissionRequest {
+        let request = AdmissionRequest {
             trainer: Some(self.pool.trainers[0].clone()),
             window: Some(placement.assignment.window),
-            deadline: now + QUEUE_WAIT,
+            deadline: now + QUEUE_TIMEOUT,
         };
         let id = placement.target.clone();
         let engine = self.engine(&id);
-        match engine.queue.request_admission(now, ask) {
+        match engine.queue.request_admission(now, request) {
             Admission::Admitted(ticket) => {
                 engine.start(now, ticket, run, from, placement);
-                self.watch_leaving(now, &id);
+                self.check_leaving(now, &id);
             }
-            Admission::Queued(ticket) => engine.wait(ticket, run, from, placement),
-            Admission::Refused(refusal) => self.refused(now, from, placement, refusal),
+            Admission::Queued(ticket) => engine.enqueue(ticket, run, from, placement),
+            Admission::Refused(refusal) => self.send_refusal(now, from, placement, refusal),
         }
-        self.settle(now, &id);
+        self.process_engine(now, &id);
     }
 
-    /// Work may begin at an engine that leaves only until its home has read it.
-    fn watch_leaving(&mut self, now: Moment, id: &TargetId) {
+    /// Records a violation if work starts at a leaving engine after its home has read that state.
+    fn check_leaving(&mut self, now: Moment, id: &TargetId) {
         let since = self.engine(id).leaving_since;
-        if since.is_some_and(|since| now.since(since) > READ_EVERY) {
-            self.truth.began_at_leaving(now, id);
+        if since.is_some_and(|since| now.since(since) > READ_INTERVAL) {
+            self.checker.record_start_at_leaving(now, id);
         }
     }
 
-    pub(super) fn refused(
+    pub(super) fn send_refusal(
         &mut self,
         now: Moment,
         from: (BoxIndex, u64),
@@ -65,30 +65,31 @@
         refusal: Refusal,
     ) {
         let hint = self.engine(&placement.target.clone()).hint();
-        let end = match refusal {
+        let outcome = match refusal {
             Refusal::NotRun { reason, retry_after } => {
                 AttemptOutcome::NotRun { reason, retry_after }
             }
             Refusal::Unknown => AttemptOutcome::Unusable,
         };
-        self.send(now, Event::WorkEnds(from.0, from.1, placement, end, Some(hint)));
+        self.send(now, Event::AttemptEnded(from.0, from.1, placement, outcome, Some(hint)));
     }
 
-    pub(super) fn settle(&mut self, now: Moment, id: &TargetId) {
+    /// Handles the queue events of the home and schedules the next step of the engine.
+    pub(super) fn process_engine(&mut self, now: Moment, id: &TargetId) {
         let events = self.engine(id).queue.poll(now);
         for event in events {
             match event {
                 QueueEvent::Go(ticket) => {
                     let engine = self.engine(id);
-                    if let Some((run, from, placement)) = engine.waited(ticket) {
+                    if let Some((run, from, placement)) = engine.take_waiting(ticket) {
                         engine.start(now, ticket, run, from, placement);
-                        self.watch_leaving(now, id);
+                        self.check_leaving(now, id);
                     }
                 }
                 QueueEvent::Refused(ticket, refusal) => {
-                    let waited = self.engine(id).waited(ticket);
-                    if let Some((_, from, placement)) = waited {
-                        self.refused(now, from, placement, refusal);
+                    let waiting_work = self.engine(id).take_waiting(ticket);
+                    if let Some((_, from, placement)) = waiting_work {
+                        self.send_refusal(now, from, placement, refusal);
                     }
                 }
             }
@@ -103,34 +104,34 @@
         }
     }
 
-    pub(super) fn at_engine(&mut self, now: Moment, id: &TargetId) {
+    pub(super) fn advance_engine(&mut self, now: Moment, id: &TargetId) {
         let found = self.engines.iter().position(|engine| engine.id == *id);
         let Some(at) = found.filter(|at| self.engines[*at].due_at == Some(now)) else { return };
-        let ended = self.engines[at].advance(now, &mut self.truth);
-        self.ended(now, id, ended);
+        let ended = self.engines[at].advance(now, &mut self.checker);
+        self.report_ended(now, id, ended);
     }
 
-    pub(super) fn ended(&mut self, now: Moment, id: &TargetId, ended: Vec<EndedRun>) {
+    pub(super) fn report_ended(&mut self, now: Moment, id: &TargetId, ended: Vec<EndedRun>) {
         let hint = self.engine(id).hint();
-        for EndedRun { from, placement, end } in ended {
-            let how = if matches!(end, AttemptOutcome::Completed(_)) {
-                "streamed whole"
+        for EndedRun { from, placement, outcome } in ended {
+            let how = if matches!(outcome, AttemptOutcome::Completed(_)) {
+                "completed"
             } else {
-                "broke off"
+                "unusable"
             };
             let slot = placement.assignment.slot;
-            self.say(now, format!("slot {slot} {how} from {id}"));
-            let event = Event::WorkEnds(from.0, from.1, placement, end, Some(hint));
+            self.log_event(now, format!("slot {slot} {how} at {id}"));
+            let event = Event::AttemptEnded(from.0, from.1, placement, outcome, Some(hint));
             self.send(now, event);
         }
-        self.settle(now, id);
+        self.process_engine(now, id);
     }
 
     pub(super) fn read_engine(&mut self, now: Moment, id: &TargetId) {
         let engine = self.engine(id);
         let reading = engine.reading(now);
         engine.queue.read(now, &reading);
-        self.settle(now, id);
-        self.queue.0.push(now + READ_EVERY, Event::HomeReads(id.clone()));
+        self.process_engine(now, id);
+        self.queue.0.push(now + READ_INTERVAL, Event::HomeReadDue(id.clone()));
     }
 }
--- a/crates/sessions/src/world/trainer.rs
+++ b/crates/sessions/src/world/trainer.rs
@@ -1,4 +1,4 @@
-//! The trainer and the boxes it turns to.
+//! The trainer and its choice of a box.
 
 use std::time::Duration;
 
@@ -7,68 +7,69 @@
 use placement::PlacementPolicy;
 
 use super::{World, box_name};
-use crate::events::{BoxIndex, Event, Reply};
-use crate::trainer::Brought;
+use crate::events::{BoxIndex, Event, KeeperReply};
+use crate::trainer::ReplyOutcome;
 
-/// How long a trainer waits for a reply before it turns to another box.
-const REPLY_TIME: Duration = Duration::from_millis(600);
-/// How long a box that did not reply is left alone.
-const AVOID_FOR: Duration = Duration::from_secs(2);
+/// Time after which the trainer sends its request to another box.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(600);
+/// Time for which the trainer avoids a box that did not reply.
+const BACKOFF_DURATION: Duration = Duration::from_secs(2);
 
 impl<C: PlacementPolicy + Default> World<C> {
-    pub(super) fn trainer_due(&mut self, now: Moment) {
-        let asks = self.trainer.asks;
-        if let Some(asked_at) = self.trainer.asked_at() {
-            if now.since(asked_at) < REPLY_TIME {
-                self.queue.0.push(asked_at + REPLY_TIME, Event::TrainerDue);
+    pub(super) fn handle_trainer_due(&mut self, now: Moment) {
+        let current_box = self.trainer.current_box;
+        if let Some(requested_at) = self.trainer.requested_at() {
+            if now.since(requested_at) < REPLY_TIMEOUT {
+                self.queue.0.push(requested_at + REPLY_TIMEOUT, Event::TrainerDue);
                 return;
             }
-            self.avoid.insert(asks, now);
-            self.turn(now);
+            self.failed_at.insert(current_box, now);
+            self.switch_box(now);
         }
-        let (number, question) = self.trainer.ask(now);
-        let asks = self.trainer.asks;
-        self.send(now, Event::Question(asks, number, question));
-        self.queue.0.push(now + REPLY_TIME, Event::TrainerDue);
+        let (number, request) = self.trainer.next_request(now);
+        let current_box = self.trainer.current_box;
+        self.send(now, Event::Request(current_box, number, request));
+        self.queue.0.push(now + REPLY_TIMEOUT, Event::TrainerDue);
     }
 
-    /// Turns to the next box that has not failed lately.
-    pub(super) fn turn(&mut self, now: Moment) {
+    /// Switches to the next box that is not backed off, or to the next box if all are.
+    pub(super) fn switch_box(&mut self, now: Moment) {
         let count = self.boxes.len();
-        let start = self.trainer.asks;
-        let next =
-            (1..=count).map(|step| (start + step) % count).find(|index| !self.avoids(now, *index));
-        self.trainer.turn_to(next.unwrap_or((start + 1) % count));
+        let start = self.trainer.current_box;
+        let next = (1..=count)
+            .map(|step| (start + step) % count)
+            .find(|index| !self.is_backed_off(now, *index));
+        self.trainer.switch_to(next.unwrap_or((start + 1) % count));
     }
 
-    pub(super) fn avoids(&self, now: Moment, index: BoxIndex) -> bool {
-        self.avoid.get(&index).is_some_and(|at| now.since(*at) < AVOID_FOR)
+    pub(super) fn is_backed_off(&self, now: Moment, index: BoxIndex) -> bool {
+        self.failed_at.get(&index).is_some_and(|at| now.since(*at) < BACKOFF_DURATION)
     }
 
-    pub(super) fn at_trainer(&mut self, now: Moment, number: u64, reply: Reply) {
+    pub(super) fn handle_reply(&mut self, now: Moment, number: u64, reply: KeeperReply) {
         let holder = match &reply {
-            Reply::Opened(Err(KeeperRefusal::NotKeeping { holder, .. }))
-            | Reply::Pulled(Err(KeeperRefusal::NotKeeping { holder, .. })) => holder.clone(),
+            KeeperReply::Opened(Err(KeeperRefusal::NotKeeping { holder, .. }))
+            | KeeperReply::Pulled(Err(KeeperRefusal::NotKeeping { holder, .. })) => holder.clone(),
             _ => None,
         };
-        match self.trainer.reply(number, reply) {
-            Brought::Samples(intake) => {
-                let window = self.trainer.intake.window();
+        match self.trainer.handle_reply(number, reply) {
+            ReplyOutcome::Samples(batch) => {
+                let window = self.trainer.receiver.window();
                 let runs = &self.runs;
-                for sample in &intake.accepted {
-                    self.truth.taken(now, sample, window, |run| runs.get(&run).cloned());
+                for sample in &batch.accepted {
+                    self.checker.check_sample(now, sample, window, |run| runs.get(&run).cloned());
                 }
             }
-            Brought::Nothing => {}
+            ReplyOutcome::Nothing => {}
         }
         if let Some(holder) = holder {
             let at = (0..self.boxes.len()).find(|index| box_name(*index) == holder);
-            if let Some(index) = at.filter(|index| !self.avoids(now, *index)) {
-                self.trainer.turn_to(index);
+            if let Some(index) = at.filter(|index| !self.is_backed_off(now, *index)) {
+                self.trainer.switch_to(index);
             }
         }
-        if self.trainer.asked_at().is_none() {
-            self.queue.0.push(now + self.plan.ask_pause, Event::TrainerDue);
+        if self.trainer.requested_at().is_none() {
+            self.queue.0.push(now + self.plan.request_pause, Event::TrainerDue);
         }
     }
 }
--- a/crates/sessions/tests/swaps.rs
+++ b/crates/sessions/tests/swaps.rs
@@ -1,4 +1,4 @@
-//! A roll-out begins when the version is named, not at the next rest reading.
+//! A rollout starts when a version is named, without waiting for the next periodic read.
 
 use std::time::Duration;
 
@@ -11,17 +11,21 @@
 }
 
 #[test]
-fn a_new_version_is_ordered_at_once() {
-    let engine: TargetId = "engine-1".parse().expect("an id");
-    let mut conductor = RolloutCoordinator::new(Moment::START, FencingToken::new(1));
-    let want = |conductor: &mut RolloutCoordinator, version| {
-        conductor.want(ModelVersion::new(version), SwapPolicy::AllAtOnce, [(engine.clone(), true)]);
+fn new_version_is_ordered_immediately() {
+    let engine: TargetId = "engine-1".parse().expect("the target id is valid");
+    let mut coordinator = RolloutCoordinator::new(Moment::START, FencingToken::new(1));
+    let set_wanted = |coordinator: &mut RolloutCoordinator, version| {
+        coordinator.want(
+            ModelVersion::new(version),
+            SwapPolicy::AllAtOnce,
+            [(engine.clone(), true)],
+        );
     };
-    want(&mut conductor, 1);
-    assert_eq!(conductor.poll(at(0)), [RolloutAction::Read(engine.clone())]);
-    let life = Incarnation::new(1);
-    conductor.read(at(0), at(1), &engine, life, Some(ModelVersion::new(1)));
-    want(&mut conductor, 2);
-    let actions = conductor.poll(at(2));
+    set_wanted(&mut coordinator, 1);
+    assert_eq!(coordinator.poll(at(0)), [RolloutAction::Read(engine.clone())]);
+    let incarnation = Incarnation::new(1);
+    coordinator.read(at(0), at(1), &engine, incarnation, Some(ModelVersion::new(1)));
+    set_wanted(&mut coordinator, 2);
+    let actions = coordinator.poll(at(2));
     assert!(matches!(actions.as_slice(), [RolloutAction::Order(_)]), "{actions:?}");
 }
