--- a/crates/client/src/entry.rs
+++ b/crates/client/src/entry.rs
@@ -1,4 +1,4 @@
-//! One request at a time to any of the entry boxes.
+//! Sends requests to the entry boxes, with retries and failover.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
@@ -14,25 +14,28 @@
 
 use crate::ClientError;
 
-/// Pauses between tries.
+/// Delays between attempts.
 const BACKOFF: Backoff = Backoff::new(Duration::from_millis(20), Duration::from_secs(1));
-/// Time for one try beyond the wait asked of the box; a frozen entry box is left after it.
-const TRY_TIME: Duration = Duration::from_secs(2);
-/// Time allowed for each MiB of a body on its way.
-const TIME_PER_MIB: Duration = Duration::from_secs(1);
+/// Timeout of one attempt, in addition to the wait requested of the box. Bounds the time lost at an
+/// unresponsive entry box.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Addition to the timeout of an attempt for each MiB of the request body.
+const TIMEOUT_PER_MIB: Duration = Duration::from_secs(1);
 
-/// How to reach the entry boxes.
+/// Addresses, key and retry timeout of an [`EntryClient`].
 #[derive(Debug, Clone)]
 pub struct EntrySettings {
-    /// Addresses, as `http://ip:port`: the balancer's, or the boxes' own.
+    /// Addresses of the boxes or their load balancer, as `http://ip:port`.
     pub entries: Vec<String>,
-    /// The deployment's key, for operators.
+    /// The deployment's key; required by operator requests.
     pub key: Option<String>,
-    /// How long a request that may be repeated is tried.
-    pub patience: Duration,
+    /// Total time for retries of a repeatable request.
+    pub retry_timeout: Duration,
 }
 
-/// Speaks to the entry boxes.
+/// HTTP client of the entry boxes.
+///
+/// Retries go to the next entry if the current one is unreachable or gives no valid response.
 #[derive(Debug)]
 pub struct EntryClient {
     settings: EntrySettings,
@@ -41,44 +44,47 @@
 }
 
 impl EntryClient {
-    /// A client that begins with the first entry.
+    /// Creates a client that starts with the first entry.
     pub fn new(settings: EntrySettings) -> Self {
         Self { settings, client: Client::new(), current: AtomicUsize::new(0) }
     }
 
-    /// Sends a request that may be repeated, until a box answers it or patience runs out.
-    pub async fn repeat<B: Serialize + Sync, T: DeserializeOwned>(
+    /// Sends a repeatable request; retries it until a box accepts or permanently refuses it, or
+    /// `retry_timeout` plus `wait` has passed.
+    ///
+    /// `wait` is the time for which the box may delay its response.
+    pub async fn send_with_retries<B: Serialize + Sync, T: DeserializeOwned>(
         &self,
         method: &Method,
         path: &str,
         body: Option<&B>,
         wait: Duration,
     ) -> Result<T, ClientError> {
-        let until = Instant::now() + self.settings.patience + wait;
+        let deadline = Instant::now() + self.settings.retry_timeout + wait;
         let mut retry = 0;
         loop {
-            let error = match self.once(method, path, body, wait).await {
-                Ok(answer) => return Ok(answer),
+            let error = match self.send_once(method, path, body, wait).await {
+                Ok(response) => return Ok(response),
                 Err(error) => error,
             };
-            let pause = match &error {
-                ClientError::Refused(refusal) if !may_pass(refusal) => return Err(error),
+            let delay = match &error {
+                ClientError::Refused(refusal) if !is_retryable(refusal) => return Err(error),
                 ClientError::Refused(refusal) => Duration::from_millis(refusal.retry_after_ms),
                 ClientError::NoEntry | ClientError::Broken(_) => {
                     self.current.fetch_add(1, Ordering::Relaxed);
                     BACKOFF.delay(retry, rand::rng().random())
                 }
             };
-            if Instant::now() + pause >= until {
+            if Instant::now() + delay >= deadline {
                 return Err(error);
             }
-            time::sleep(pause).await;
+            time::sleep(delay).await;
             retry += 1;
         }
     }
 
-    /// Sends a request once, to the current entry.
-    pub async fn once<B: Serialize + Sync, T: DeserializeOwned>(
+    /// Sends a request once, to the current entry, without retries.
+    pub async fn send_once<B: Serialize + Sync, T: DeserializeOwned>(
         &self,
         method: &Method,
         path: &str,
@@ -95,7 +101,7 @@
         let bytes = bytes.map_err(|error| ClientError::Broken(error.to_string()))?;
         let mib =
             bytes.as_ref().map_or(0, |bytes| u32::try_from(bytes.len() >> 20).unwrap_or(u32::MAX));
-        let timeout = wait + TRY_TIME + TIME_PER_MIB * mib;
+        let timeout = wait + ATTEMPT_TIMEOUT + TIMEOUT_PER_MIB * mib;
         let mut request = self.client.request(method.clone(), url).timeout(timeout);
         if let Some(key) = &self.settings.key {
             request = request.bearer_auth(key.trim());
@@ -104,12 +110,12 @@
             request = request.header("content-type", "application/json").body(bytes);
         }
         let response = request.send().await.map_err(|error| send_error(&error))?;
-        read_whole(response).await
+        read_response(response).await
     }
 }
 
-/// Whether the same request may do better later or at another box.
-fn may_pass(refusal: &ErrorBody) -> bool {
+/// Returns whether the same request may succeed later or at another box.
+fn is_retryable(refusal: &ErrorBody) -> bool {
     matches!(refusal.kind, ErrorKind::NotRun | ErrorKind::Unknown)
 }
 
@@ -117,17 +123,18 @@
     if error.is_connect() { ClientError::NoEntry } else { ClientError::Broken(error.to_string()) }
 }
 
-async fn read_whole<T: DeserializeOwned>(response: Response) -> Result<T, ClientError> {
+async fn read_response<T: DeserializeOwned>(response: Response) -> Result<T, ClientError> {
     let success = response.status().is_success();
-    let stated = response.headers().get(DIGEST_HEADER).and_then(|value| value.to_str().ok());
-    let stated: Option<ContentDigest> = stated.and_then(|text| text.parse().ok());
+    let stated_digest = response.headers().get(DIGEST_HEADER).and_then(|value| value.to_str().ok());
+    let stated_digest: Option<ContentDigest> = stated_digest.and_then(|text| text.parse().ok());
     let body = response.bytes().await.map_err(|error| ClientError::Broken(error.to_string()))?;
     if !success {
-        let refusal: ErrorBody = serde_json::from_slice(&body)
-            .map_err(|_foreign| ClientError::Broken("an answer that is no refusal".to_owned()))?;
+        let refusal: ErrorBody = serde_json::from_slice(&body).map_err(|_error| {
+            ClientError::Broken("the error response has an unknown format".to_owned())
+        })?;
         return Err(refusal.into());
     }
-    if stated != Some(ContentDigest::of(&body)) {
+    if stated_digest != Some(ContentDigest::of(&body)) {
         return Err(ClientError::Broken("the body does not match its digest".to_owned()));
     }
     serde_json::from_slice(&body).map_err(|error| ClientError::Broken(error.to_string()))
--- a/crates/client/src/error.rs
+++ b/crates/client/src/error.rs
@@ -1,17 +1,17 @@
-//! How a request to the entry boxes failed.
+//! Errors of requests to the entry boxes.
 
 use api::ErrorBody;
 
-/// Why a request got no whole answer.
+/// Why a request to the entry boxes failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ClientError {
-    /// No entry box could be reached: nothing was sent.
+    /// No entry box could be reached; nothing was sent.
     #[error("no entry box can be reached, nothing was sent: check the addresses and try again")]
     NoEntry,
-    /// The answer broke off or does not match its digest: the work may have run.
-    #[error("the answer broke off ({0}): the work may have run")]
+    /// The response is incomplete, invalid or does not match its digest; the work may have run.
+    #[error("no valid response ({0}): the work may have run")]
     Broken(String),
-    /// A box refused, and says whether the work ran.
+    /// A box refused the request; the refusal states whether the work ran.
     #[error(transparent)]
     Refused(#[from] ErrorBody),
 }
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,10 +1,10 @@
-//! The trainer's client library.
+//! Client library for trainers.
 //!
-//! [`TrainerClient::open`] opens a step at any entry box; [`OpenStep::next`] gives samples
-//! until all are held. The library carries the held slots and the highest fencing token,
-//! verifies every answer's digest, moves to another entry box when one fails, opens the step
-//! again when its keeper changed, and takes each sample once. It accounts for the time it
-//! waited, by cause.
+//! [`TrainerClient::open`] opens a step at any entry box; [`OpenStep::next`] returns samples until
+//! every slot has one. The library tracks the filled slots and the highest fencing token, verifies
+//! the digest of every response, switches to another entry box when one fails, reopens the step
+//! when its keeper changed, and returns each sample once. It measures the time spent waiting, by
+//! cause.
 
 mod entry;
 mod error;
--- a/crates/client/src/step.rs
+++ b/crates/client/src/step.rs
@@ -1,4 +1,4 @@
-//! Steps as a trainer uses them.
+//! Opens, pulls and closes steps.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,14 +15,14 @@
 
 use crate::{ClientError, EntryClient};
 
-/// Longest wait of one pull; short enough that a lost keeper is noticed soon.
+/// Maximum wait of one pull; bounds the time until a lost keeper is noticed.
 const PULL_WAIT: Duration = Duration::from_secs(1);
-/// Cause of a wait that ended without any keeper's answer.
+/// Cause of a wait that ended without a keeper's response.
 const NO_KEEPER: &str = "no_keeper";
-/// Most samples of one pull.
-const MOST_SAMPLES: u32 = 256;
+/// Maximum number of samples per pull.
+const MAX_SAMPLES: u32 = 256;
 
-/// Opens steps for one trainer.
+/// Opens the steps of one trainer.
 #[derive(Debug, Clone)]
 pub struct TrainerClient {
     entry: Arc<EntryClient>,
@@ -30,97 +30,97 @@
     trainer: TrainerId,
 }
 
-/// Time a trainer waited for samples, by cause.
+/// Time that a trainer waited for samples, and the events that affected it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct IdleReport {
-    /// Milliseconds by the cause's short name.
+    /// Waiting time by name of the cause, in milliseconds.
     pub by_cause_ms: BTreeMap<String, u64>,
-    /// Samples that came twice and were dropped.
+    /// Number of duplicate samples that were dropped.
     pub doubled: usize,
-    /// Samples that had become too old on the way and were dropped.
+    /// Number of samples that were dropped because they were too old when they arrived.
     pub stale: usize,
-    /// Times the step was opened again at another keeper.
+    /// Number of times that the step was reopened, after a change of keeper.
     pub reopened: usize,
     /// Longest time without a new sample, in milliseconds.
     pub longest_gap_ms: u64,
 }
 
-/// A step that is open.
+/// An open step.
 #[derive(Debug)]
 pub struct OpenStep {
     client: TrainerClient,
-    intake: StepReceiver,
+    receiver: StepReceiver,
     state: StepState,
     idle: IdleReport,
     last_sample: Instant,
 }
 
 impl TrainerClient {
-    /// A client for `trainer` of `pool`.
+    /// Creates a client for `trainer` of `pool`.
     pub const fn new(entry: Arc<EntryClient>, pool: PoolName, trainer: TrainerId) -> Self {
         Self { entry, pool, trainer }
     }
 
-    /// Opens a step; the same step may be opened again after a restart.
+    /// Opens a step. After a restart of the trainer, the same step may be opened again.
     pub async fn open(&self, spec: StepSpec) -> Result<OpenStep, ClientError> {
-        let intake = StepReceiver::new(spec);
-        let state = self.send_open(&intake).await?;
+        let receiver = StepReceiver::new(spec);
+        let state = self.send_open(&receiver).await?;
         Ok(OpenStep {
             client: self.clone(),
-            intake,
+            receiver,
             state,
             idle: IdleReport::default(),
             last_sample: Instant::now(),
         })
     }
 
-    async fn send_open(&self, intake: &StepReceiver) -> Result<StepState, ClientError> {
-        let spec = intake.spec();
+    async fn send_open(&self, receiver: &StepReceiver) -> Result<StepState, ClientError> {
+        let spec = receiver.spec();
         let body = OpenBody {
             version: spec.version,
             groups: spec.groups.clone(),
-            held: intake.held().clone(),
-            seen: intake.seen(),
+            held: receiver.held().clone(),
+            seen: receiver.seen(),
         };
-        self.post(intake, "open", &body, Duration::ZERO).await
+        self.post(receiver, "open", &body, Duration::ZERO).await
     }
 
     async fn post<B: Serialize + Sync, T: serde::de::DeserializeOwned>(
         &self,
-        intake: &StepReceiver,
+        receiver: &StepReceiver,
         verb: &str,
         body: &B,
         wait: Duration,
     ) -> Result<T, ClientError> {
-        let step = intake.spec().step;
+        let step = receiver.spec().step;
         let path = format!("/v1/pools/{}/trainers/{}/steps/{step}/{verb}", self.pool, self.trainer);
-        self.entry.repeat(&Method::POST, &path, Some(body), wait).await
+        self.entry.send_with_retries(&Method::POST, &path, Some(body), wait).await
     }
 }
 
 impl OpenStep {
-    /// The trainer's record of the step.
-    pub const fn intake(&self) -> &StepReceiver {
-        &self.intake
+    /// Returns the receiver, which tracks the accepted samples.
+    pub const fn receiver(&self) -> &StepReceiver {
+        &self.receiver
     }
 
-    /// The step as its keeper last told it.
+    /// Returns the state that the keeper last reported.
     pub const fn state(&self) -> &StepState {
         &self.state
     }
 
-    /// What the trainer waited for so far.
+    /// Returns the waiting times so far.
     pub const fn idle(&self) -> &IdleReport {
         &self.idle
     }
 
-    /// The next samples, each given once; `None` when every slot is held.
+    /// Returns the next new samples, or `None` when every slot has one.
     pub async fn next(&mut self) -> Result<Option<Vec<Sample>>, ClientError> {
-        while !self.intake.is_complete() {
+        while !self.receiver.is_complete() {
             let started = Instant::now();
             let pulled = self.pull().await;
             let cause = if pulled.is_ok() { self.state.progress.cause.name() } else { NO_KEEPER };
-            self.account(cause, started);
+            self.record_wait(cause, started);
             let samples = pulled?;
             if !samples.is_empty() {
                 let gap = whole_millis(self.last_sample.elapsed());
@@ -132,11 +132,11 @@
         Ok(None)
     }
 
-    /// Names a newer version; older samples than the bound allows are made again.
+    /// Names a newer version; samples older than the staleness bound are generated again.
     pub async fn advance(&mut self, version: ModelVersion) -> Result<(), ClientError> {
-        self.intake.advance(version);
-        let body = AdvanceBody { version, seen: self.intake.seen() };
-        match self.client.post(&self.intake, "advance", &body, Duration::ZERO).await {
+        self.receiver.advance(version);
+        let body = AdvanceBody { version, seen: self.receiver.seen() };
+        match self.client.post(&self.receiver, "advance", &body, Duration::ZERO).await {
             Ok(state) => self.state = state,
             Err(error) if not_open(&error) => self.reopen().await?,
             Err(error) => return Err(error),
@@ -144,13 +144,13 @@
         Ok(())
     }
 
-    /// Closes the step.
+    /// Closes the step and returns the waiting times.
     pub async fn close(self) -> Result<IdleReport, ClientError> {
-        let body = CloseBody { held: self.intake.held().clone(), seen: self.intake.seen() };
+        let body = CloseBody { held: self.receiver.held().clone(), seen: self.receiver.seen() };
         let closed: Result<serde_json::Value, ClientError> =
-            self.client.post(&self.intake, "close", &body, Duration::ZERO).await;
+            self.client.post(&self.receiver, "close", &body, Duration::ZERO).await;
         match closed {
-            // A keeper that does not know the step has nothing to close.
+            // A keeper that does not have the step open has nothing to close.
             Err(error) if !not_open(&error) => Err(error),
             _ => Ok(self.idle),
         }
@@ -158,38 +158,38 @@
 
     async fn pull(&mut self) -> Result<Vec<Sample>, ClientError> {
         let body = PullBody {
-            held: self.intake.held().clone(),
-            seen: self.intake.seen(),
-            most: MOST_SAMPLES,
+            held: self.receiver.held().clone(),
+            seen: self.receiver.seen(),
+            most: MAX_SAMPLES,
             wait_ms: whole_millis(PULL_WAIT),
         };
-        let pulled = self.client.post(&self.intake, "pull", &body, PULL_WAIT).await;
-        let answer: PullResponse = match pulled {
-            Ok(answer) => answer,
+        let pulled = self.client.post(&self.receiver, "pull", &body, PULL_WAIT).await;
+        let response: PullResponse = match pulled {
+            Ok(response) => response,
             Err(error) if not_open(&error) => {
                 self.reopen().await?;
                 return Ok(Vec::new());
             }
             Err(error) => return Err(error),
         };
-        let state = answer.state;
-        let taken = self.intake.accept(state.token, state.rule, answer.samples);
-        // An answer under an older token came from a keeper that has been replaced: pull again.
-        let Ok(intake) = taken else { return Ok(Vec::new()) };
+        let state = response.state;
+        let accepted = self.receiver.accept(state.token, state.rule, response.samples);
+        // A response with an older token is from a replaced keeper; ignore it and pull again.
+        let Ok(batch) = accepted else { return Ok(Vec::new()) };
         self.state = state;
-        self.idle.doubled += intake.duplicates;
-        self.idle.stale += intake.stale;
-        Ok(intake.accepted)
+        self.idle.doubled += batch.duplicates;
+        self.idle.stale += batch.stale;
+        Ok(batch.accepted)
     }
 
-    /// The keeper changed and the new one does not know the step.
+    /// Opens the step again, after its keeper reported that it is not open.
     async fn reopen(&mut self) -> Result<(), ClientError> {
-        self.state = self.client.send_open(&self.intake).await?;
+        self.state = self.client.send_open(&self.receiver).await?;
         self.idle.reopened += 1;
         Ok(())
     }
 
-    fn account(&mut self, cause: &str, since: Instant) {
+    fn record_wait(&mut self, cause: &str, since: Instant) {
         let waited = whole_millis(since.elapsed());
         *self.idle.by_cause_ms.entry(cause.to_owned()).or_default() += waited;
     }
--- a/crates/demo/src/fleet.rs
+++ b/crates/demo/src/fleet.rs
@@ -317,7 +317,7 @@
         EntryClient::new(EntrySettings {
             entries: self.entries(),
             key: Some(KEY.to_owned()),
-            patience: Duration::from_mins(1),
+            retry_timeout: Duration::from_mins(1),
         })
     }
 
@@ -345,7 +345,7 @@
         let path = format!("/v1/pools/{}", spec.name);
         let applied: Value = self
             .operator()
-            .repeat(&Method::PUT, &path, Some(spec), Duration::ZERO)
+            .send_with_retries(&Method::PUT, &path, Some(spec), Duration::ZERO)
             .await
             .map_err(io::Error::other)?;
         Ok(applied["generation"].as_u64().unwrap_or_default())
--- a/crates/demo/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -128,8 +128,8 @@
 async fn pull_until(step: &mut OpenStep, tally: &mut Tally, wanted: usize) -> io::Result<()> {
     while tally.slots.len() < wanted {
         let Some(samples) = step.next().await.map_err(io::Error::other)? else { return Ok(()) };
-        let named = step.intake().named();
-        let window = step.intake().window();
+        let named = step.receiver().named();
+        let window = step.receiver().window();
         for sample in samples {
             if !tally.slots.insert(sample.slot) {
                 tally.doubled += 1;
--- a/crates/demo/tests/processes.rs
+++ b/crates/demo/tests/processes.rs
@@ -64,7 +64,7 @@
 async fn pull(step: &mut OpenStep, slots: &mut SlotSet, wanted: usize) {
     while slots.len() < wanted {
         let samples = step.next().await.expect("samples").expect("not whole yet");
-        let window = step.intake().window();
+        let window = step.receiver().window();
         for sample in samples {
             assert!(slots.insert(sample.slot), "slot {} came twice", sample.slot);
             assert!(!window.is_too_old(sample.oldest()), "slot {} is too old", sample.slot);
--- a/crates/gannetctl/src/cli.rs
+++ b/crates/gannetctl/src/cli.rs
@@ -182,7 +182,7 @@
         Ok(EntryClient::new(EntrySettings {
             entries: self.entry.clone(),
             key: self.key()?,
-            patience: Duration::from_millis(self.patience_ms),
+            retry_timeout: Duration::from_millis(self.patience_ms),
         }))
     }
 
--- a/crates/gannetctl/src/commands.rs
+++ b/crates/gannetctl/src/commands.rs
@@ -38,7 +38,7 @@
         generation_condition.unwrap_or_default()
     );
     let applied: AppliedBody =
-        entry.repeat(&Method::PUT, &path, Some(&spec), Duration::ZERO).await?;
+        entry.send_with_retries(&Method::PUT, &path, Some(&spec), Duration::ZERO).await?;
     print(output, &applied, || {
         let mut table = Table::new(&["POOL", "VERSION", "GENERATION"]);
         table.row([
@@ -76,10 +76,10 @@
     let started = Instant::now();
     let trainer = TrainerClient::new(Arc::new(entry), args.pool, args.trainer);
     let mut open = trainer.open(spec).await?;
-    let slots = open.intake().spec().slots();
+    let slots = open.receiver().spec().slots();
     let mut tally = SampleTally::default();
     while let Some(samples) = open.next().await? {
-        let named = open.intake().named();
+        let named = open.receiver().named();
         for sample in &samples {
             tally.count(sample, named);
         }
--- a/crates/gannetctl/src/queries.rs
+++ b/crates/gannetctl/src/queries.rs
@@ -14,7 +14,7 @@
     entry: &EntryClient,
     path: &str,
 ) -> Result<T, ClientError> {
-    entry.repeat(&Method::GET, path, None::<&()>, Duration::ZERO).await
+    entry.send_with_retries(&Method::GET, path, None::<&()>, Duration::ZERO).await
 }
 
 /// Shows one pool.
