--- a/crates/gannetctl/src/step_chart.rs
+++ b/crates/gannetctl/src/step_chart.rs
@@ -26,7 +26,7 @@
 
 /// Writes the chart to `file`.
 ///
-/// Each bar starts when the step was taken: grey until the first run, blue until the last wanted
+/// Each bar starts at `taken_at`: grey until the first run, blue until the last wanted
 /// item was listed, orange until it was read, green until the step ended. The part after the
 /// first run is red if the step ended without its wanted items.
 pub(crate) fn draw_step_chart(
--- a/crates/gannetctl/src/step_timings.rs
+++ b/crates/gannetctl/src/step_timings.rs
@@ -52,8 +52,8 @@
     pub server: String,
     /// When an entry box first logged that its job was accepted.
     pub asked_at: Option<f64>,
-    /// When the last server of the shard took it over; without a server change, when the job was
-    /// accepted.
+    /// When `server` accepted the job; after a server change, later than the acceptance that the
+    /// entry box logged.
     pub taken_at: f64,
     /// When the oldest version allowed for its samples was named.
     pub named_at: Option<f64>,
@@ -62,7 +62,7 @@
     pub wanted_at: Option<f64>,
     pub read_at: Option<f64>,
     pub ended_at: f64,
-    /// Number of items carried over from an earlier step.
+    /// Number of items carried over from earlier jobs.
     pub carried: u32,
     pub last: Option<LastItem>,
     /// Sorted by time, longest first.
