--- a/crates/xtask/src/ablate.rs
+++ b/crates/xtask/src/ablate.rs
@@ -1,16 +1,16 @@
-//! Scratch copies without one mechanism, to measure what it is worth.
+//! Ablation: scratch copies without one mechanism, to measure its effect.
 //!
-//! Unlike a mutation, which a test must notice, an ablation is a working program: it only decides
-//! worse, if the mechanism is worth anything. What plays it and compares is the caller's.
+//! Unlike a mutation, which a test must detect, an ablation is a working program that makes worse
+//! decisions. The caller builds and runs the copy and compares the results.
 
 use std::io;
 use std::path::Path;
 
-use crate::scratch::{SourceEdit, refresh};
+use crate::scratch::{SourceEdit, update_copy};
 
 struct Ablation {
     name: &'static str,
-    /// What happens without the mechanism.
+    /// Behavior without the mechanism.
     without: &'static str,
     edit: SourceEdit,
 }
@@ -18,7 +18,7 @@
 const ABLATIONS: &[Ablation] = &[
     Ablation {
         name: "trainer-shards",
-        without: "trainers behind one host share one server",
+        without: "trainers on one host share one server",
         edit: SourceEdit {
             file: "crates/joblog/src/takeover.rs",
             from: r#"format!("{} {model}", host.to_ascii_lowercase())"#,
@@ -27,7 +27,7 @@
     },
     Ablation {
         name: "told-loads",
-        without: "servers find loads that they did not order out by refusals",
+        without: "servers learn of weight loads that they did not order only from refusals",
         edit: SourceEdit {
             file: "crates/shards/src/loads.rs",
             from: "if serves { ctx.loads.current_loads",
@@ -36,7 +36,7 @@
     },
     Ablation {
         name: "brief-rest",
-        without: "connections are not used again where a target tells one second",
+        without: "connections are not reused if the keep-alive timeout of a target is one second",
         edit: SourceEdit {
             file: "crates/upstream/src/response.rs",
             from: "const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(300);",
@@ -45,7 +45,7 @@
     },
     Ablation {
         name: "told-pause",
-        without: "boxes that are told ask a silent store as often as the one that tells",
+        without: "boxes with a feed source probe an unresponsive store as often as the source",
         edit: SourceEdit {
             file: "crates/node/src/probe.rs",
             from: "            _ if has_source => FEED_PAUSE,",
@@ -54,7 +54,7 @@
     },
     Ablation {
         name: "second-call",
-        without: "a reward call is made at one target at a time",
+        without: "reward calls are not hedged",
         edit: SourceEdit {
             file: "crates/jobs/src/reward_plan.rs",
             from: "const MAX_CALLS: u32 = 3;",
@@ -63,7 +63,7 @@
     },
     Ablation {
         name: "first-feed",
-        without: "a box that starts lists all kinds for itself",
+        without: "a starting box lists all kinds itself",
         edit: SourceEdit {
             file: "crates/node/src/follow.rs",
             from: "            self.start_mode = StartMode::AwaitFeed;",
@@ -72,7 +72,7 @@
     },
     Ablation {
         name: "lost-copy",
-        without: "copies that are known to be lost are waited for",
+        without: "takeovers wait for copies that are known to be lost",
         edit: SourceEdit {
             file: "crates/joblog/src/takeover.rs",
             from: "let rank = rank.saturating_sub(view.lost_before);",
@@ -81,7 +81,7 @@
     },
     Ablation {
         name: "pace",
-        without: "runs take the near and idle engines, not the fast ones",
+        without: "runs prefer near and idle engines over fast ones",
         edit: SourceEdit {
             file: "crates/shards/src/dispatch.rs",
             from: "        fast: true,",
@@ -90,7 +90,7 @@
     },
     Ablation {
         name: "latest-start",
-        without: "items start job by job, whatever their length",
+        without: "items start job by job, regardless of their length",
         edit: SourceEdit {
             file: "crates/jobs/src/order.rs",
             from: "as_secs_f64() * 1_000.0 - text_millis",
@@ -108,7 +108,7 @@
     },
     Ablation {
         name: "fresh-part",
-        without: "the most outdated engines load first, whatever their model",
+        without: "the most outdated engines load first, regardless of their model",
         edit: SourceEdit {
             file: "crates/swaps/src/loads.rs",
             from: "        fresh * 1_000 / all.max(1)",
@@ -117,7 +117,7 @@
     },
     Ablation {
         name: "share-by-work",
-        without: "each model gets as many engines, whatever its work",
+        without: "all models get the same number of engines, regardless of their work",
         edit: SourceEdit {
             file: "crates/shards/src/engine_assignments.rs",
             from: "        let shares = divide_engines(self.engines.len(), work);",
@@ -126,7 +126,7 @@
     },
     Ablation {
         name: "few-loads",
-        without: "all engines may load at once",
+        without: "all engines may load weights at once",
         edit: SourceEdit {
             file: "crates/shards/src/rollout.rs",
             from: "    ((engines + parts / 2) / parts).max(1)",
@@ -144,7 +144,7 @@
     },
     Ablation {
         name: "progress",
-        without: "long texts are in the log only once they are whole",
+        without: "long texts are logged only when complete",
         edit: SourceEdit {
             file: "crates/shards/src/run.rs",
             from: "const PROGRESS_EVENTS: usize = 16;",
@@ -153,7 +153,7 @@
     },
     Ablation {
         name: "carried-text",
-        without: "text that an earlier job has left over is made again",
+        without: "partial text of an earlier job is generated again",
         edit: SourceEdit {
             file: "crates/jobs/src/table.rs",
             from: "        let latest = self.latest_refs.get(item)?;",
@@ -162,7 +162,7 @@
     },
     Ablation {
         name: "rest-failed",
-        without: "a target that failed is tried again at once",
+        without: "a failed target is retried at once",
         edit: SourceEdit {
             file: "crates/routing/src/target_table.rs",
             from: "const INITIAL_BACKOFF: Duration = Duration::from_millis(200);",
@@ -171,7 +171,7 @@
     },
     Ablation {
         name: "rest-full",
-        without: "a target that was full is tried again at once",
+        without: "a full target is retried at once",
         edit: SourceEdit {
             file: "crates/routing/src/target_table.rs",
             from: "const INITIAL_FULL_BACKOFF: Duration = Duration::from_millis(60);",
@@ -180,7 +180,7 @@
     },
     Ablation {
         name: "feed",
-        without: "every box asks the store itself",
+        without: "every box polls the store itself",
         edit: SourceEdit {
             file: "crates/node/src/feed/client.rs",
             from: "self.failed_at.get(&candidate.box_id).is_none_or(|at| at.elapsed() >= SOURCE_BACKOFF)",
@@ -189,7 +189,7 @@
     },
     Ablation {
         name: "cut-off",
-        without: "a box that is cut off stays ready",
+        without: "an isolated box stays ready",
         edit: SourceEdit {
             file: "crates/front/src/isolation.rs",
             from: "view.set_isolated(view.is_configured() && last_contact",
@@ -198,7 +198,7 @@
     },
     Ablation {
         name: "doubt",
-        without: "a failed call raises no doubt of being cut off",
+        without: "a failed call does not trigger an isolation check",
         edit: SourceEdit {
             file: "crates/front/src/jobs_api.rs",
             from: "            self.alarm.raise();",
@@ -207,7 +207,7 @@
     },
     Ablation {
         name: "ask-again",
-        without: "a call whose connection died is not made again",
+        without: "a call whose connection was lost is not retried",
         edit: SourceEdit {
             file: "crates/front/src/jobs_api.rs",
             from: "        if error != CallError::LinkLost {",
@@ -216,7 +216,7 @@
     },
     Ablation {
         name: "pulse",
-        without: "a silent link is not given up",
+        without: "an unresponsive link is not closed",
         edit: SourceEdit {
             file: "crates/links/src/pulse.rs",
             from: "if now >= pong_by { PulseStep::Dead }",
@@ -225,7 +225,7 @@
     },
     Ablation {
         name: "keep-lease",
-        without: "a holder gives its lease up when the shard moves",
+        without: "a holder releases its lease when the shard moves",
         edit: SourceEdit {
             file: "crates/shards/src/claim.rs",
             from: "    let should_poll = serves || (lease.may_hold() && ctx.is_active());",
@@ -234,7 +234,7 @@
     },
     Ablation {
         name: "stand-in",
-        without: "nobody stands in for a holder whom the store refuses",
+        without: "no box replaces a leaseholder that cannot reach the store",
         edit: SourceEdit {
             file: "crates/shards/src/claim.rs",
             from: "serves_shard(ctx, keepers, lease) || is_fallback_holder(ctx, lease)",
@@ -243,7 +243,7 @@
     },
     Ablation {
         name: "reuse",
-        without: "connections to targets are not used again",
+        without: "connections to targets are not reused",
         edit: SourceEdit {
             file: "crates/upstream/src/pool.rs",
             from: "const MAX_IDLE_PER_TARGET: usize = 16;",
@@ -252,7 +252,7 @@
     },
     Ablation {
         name: "return",
-        without: "followers learn late of the store's return",
+        without: "watchers learn late that the store is available again",
         edit: SourceEdit {
             file: "crates/shards/src/claim.rs",
             from: "        ctx.view.store_answered(Kind::Leases, true);",
@@ -261,23 +261,25 @@
     },
 ];
 
-/// The edits of all ablations.
+/// Returns the edits of all ablations.
 pub fn edits() -> impl Iterator<Item = SourceEdit> {
     ABLATIONS.iter().map(|ablation| ablation.edit)
 }
 
-/// Lists the mechanisms, one a line: name, and what happens without it.
+/// Prints one line per mechanism: its name and the behavior without it, separated by a tab.
 pub fn list() {
     for ablation in ABLATIONS {
         println!("{}\t{}", ablation.name, ablation.without);
     }
 }
 
-/// Makes a copy of the tree at `to` without the mechanism `name`.
+/// Copies the tree at `root` to `to` without the mechanism `name`.
 pub fn ablate(root: &Path, name: &str, to: &Path) -> io::Result<()> {
     let Some(ablation) = ABLATIONS.iter().find(|ablation| ablation.name == name) else {
-        return Err(io::Error::other(format!("no mechanism `{name}`: run `ablate` for the list")));
+        return Err(io::Error::other(format!(
+            "unknown mechanism `{name}`: run `ablate` for the list"
+        )));
     };
-    refresh(root, to)?;
+    update_copy(root, to)?;
     ablation.edit.apply(to)
 }
--- a/crates/xtask/src/main.rs
+++ b/crates/xtask/src/main.rs
@@ -1,4 +1,4 @@
-//! Chores of the repository, run as `cargo run -p xtask -- <chore>`.
+//! Development tasks, run as `cargo run -p xtask -- <task>`.
 
 mod ablate;
 mod mutate;
@@ -11,7 +11,7 @@
 use clap::{Parser, Subcommand};
 
 #[derive(Debug, Parser)]
-#[command(about = "Chores of the repository")]
+#[command(about = "Development tasks of the repository")]
 struct Cli {
     #[command(subcommand)]
     chore: Chore,
@@ -19,23 +19,24 @@
 
 #[derive(Debug, Subcommand)]
 enum Chore {
-    /// Writes the wire messages' Rust code from the .proto file.
+    /// Generates the Rust code of the wire messages from the .proto file.
     Codegen,
-    /// Fails when the committed wire code is not what the .proto file gives.
+    /// Fails if the committed wire code differs from the code generated from the .proto file.
     CheckCodegen,
-    /// Fails when a mutation or an ablation changes source that does not stand there any more.
+    /// Fails if the source text that a mutation or an ablation replaces is missing.
     CheckEdits,
-    /// Removes one mechanism after the other in a scratch copy; each must make a test fail.
+    /// Removes each mechanism in turn in a scratch copy and checks that a test fails.
     Mutate {
-        /// Only mutations whose name holds this.
+        /// Runs only mutations whose name contains this text.
         only: Option<String>,
     },
-    /// Makes a scratch copy without one mechanism, for measuring; lists them without a name.
+    /// Creates a scratch copy without one mechanism, for measurements. Without a name, lists all
+    /// mechanisms.
     Ablate {
-        /// The mechanism.
+        /// Name of the mechanism.
         #[arg(requires = "to")]
         name: Option<String>,
-        /// Where the copy goes; a later one may take the place of an earlier one.
+        /// Directory for the copy; an earlier copy there is updated.
         #[arg(long)]
         to: Option<PathBuf>,
     },
@@ -43,7 +44,7 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let done = match cli.chore {
+    let result = match cli.chore {
         Chore::Codegen => codegen(&generated_dir()),
         Chore::CheckCodegen => check_codegen(),
         Chore::CheckEdits => check_edits(),
@@ -56,7 +57,7 @@
         }
         Chore::Mutate { only } => mutate::mutate(&root_dir(), only.as_deref()).map_err(Into::into),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("xtask: {error}");
--- a/crates/xtask/src/mutate.rs
+++ b/crates/xtask/src/mutate.rs
@@ -1,23 +1,23 @@
-//! Removes one mechanism at a time in a scratch copy and expects its test to fail.
+//! Mutation testing: removes one mechanism at a time in a scratch copy and expects a test to fail.
 //!
-//! A promise counts as tested only if the test fails without the mechanism. Each mutation is a
-//! piece of source, what takes its place, and the test that must notice.
+//! A guarantee counts as tested only if its test fails without the mechanism behind it. Each
+//! mutation is a source edit and the test that must detect it.
 
 use std::io;
 use std::path::Path;
 use std::process::Command;
 
-use crate::scratch::{SourceEdit, refresh};
+use crate::scratch::{SourceEdit, update_copy};
 
-/// One mechanism taken out.
+/// The removal of one mechanism.
 struct Mutation {
-    /// What is removed, in a few words.
+    /// Describes the faulty behavior; `mutate FILTER` matches a part of it.
     name: &'static str,
     file: &'static str,
     from: &'static str,
     to: &'static str,
-    /// Package and test filter.
     package: &'static str,
+    /// Test name filter; empty runs all tests of the package.
     test: &'static str,
 }
 
@@ -27,14 +27,14 @@
     }
 }
 
-/// The edits of all mutations.
+/// Returns the edits of all mutations.
 pub fn edits() -> impl Iterator<Item = SourceEdit> {
     MUTATIONS.iter().map(Mutation::edit)
 }
 
 const MUTATIONS: &[Mutation] = &[
     Mutation {
-        name: "1: a missing stamp is taken for the last version",
+        name: "1: a missing stamp is treated as the last version",
         file: "crates/ledger/src/chunks.rs",
         from: "let Some(version) = stamp.version else {",
         to: "let Some(version) = stamp.version.or(self.oldest()).or(Some(ModelVersion::new(1))) else {",
@@ -50,7 +50,7 @@
         test: "in_doubt",
     },
     Mutation {
-        name: "1: a reading from before the order's end clears the doubt",
+        name: "1: a reading from before the order completed clears the doubt",
         file: "crates/placement/src/replica.rs",
         from: "if requested_at < self.valid_from && !restarted && !holds_ordered {",
         to: "if false {",
@@ -58,7 +58,7 @@
         test: "in_doubt",
     },
     Mutation {
-        name: "2: no check when a sample ends",
+        name: "2: no staleness check when a sample ends",
         file: "crates/ledger/src/step.rs",
         from: "if self.window().is_too_old(sample.oldest()) {",
         to: "if false {",
@@ -66,7 +66,7 @@
         test: "too_old_when_it_ends",
     },
     Mutation {
-        name: "2: no check when a version is named",
+        name: "2: waiting samples are not checked when the version changes",
         file: "crates/ledger/src/step.rs",
         from: "self.discard_where(|sample| window.is_too_old(sample.oldest()));",
         to: "let _ = window;",
@@ -74,7 +74,7 @@
         test: "became_too_old",
     },
     Mutation {
-        name: "2: no check at the trainer",
+        name: "2: no staleness check at the trainer",
         file: "crates/ledger/src/receiver.rs",
         from: "sample.spans.is_empty() || window.is_too_old(sample.oldest())",
         to: "sample.spans.is_empty()",
@@ -82,7 +82,7 @@
         test: "nothing_stale",
     },
     Mutation {
-        name: "3: the trainer does not look whether it holds a slot",
+        name: "3: the trainer does not check whether it already holds a slot",
         file: "crates/ledger/src/receiver.rs",
         from: "} else if self.held.contains(sample.slot) {",
         to: "} else if false {",
@@ -90,7 +90,7 @@
         test: "keeper_fault",
     },
     Mutation {
-        name: "3: an answer under a lower token is taken",
+        name: "3: a response with a lower token is accepted",
         file: "crates/ledger/src/receiver.rs",
         from: "if token < self.seen {",
         to: "if false {",
@@ -98,7 +98,7 @@
         test: "lower_token",
     },
     Mutation {
-        name: "3: a keeper does not step down for a higher token",
+        name: "3: a keeper does not step down on a higher token",
         file: "crates/keeping/src/keeper.rs",
         from: "Some(token) if seen > token => {",
         to: "Some(token) if seen > token && false => {",
@@ -106,7 +106,7 @@
         test: "higher_token",
     },
     Mutation {
-        name: "3: a taker does not wait for the term",
+        name: "3: a takeover does not wait for the lease term",
         file: "crates/coord/src/lease.rs",
         from: "if free || now >= due {",
         to: "if true {",
@@ -114,7 +114,7 @@
         test: "never_two_holders",
     },
     Mutation {
-        name: "3: a holder counts from the answer instead of from before the write",
+        name: "3: a holder counts its term from the response instead of from before the write",
         file: "crates/coord/src/lease.rs",
         from: "self.hold(token, version, sent_at);",
         to: "self.hold(token, version, now + self.term / 4);",
@@ -122,7 +122,7 @@
         test: "",
     },
     Mutation {
-        name: "limits: work goes on although its trainer does not pull",
+        name: "limits: generation continues although the trainer does not pull",
         file: "crates/keeping/src/keeper.rs",
         from: "let full = self.waiting_bytes() >= MAX_WAITING_BYTES;",
         to: "let full = false;",
@@ -130,7 +130,7 @@
         test: "does_not_pull",
     },
     Mutation {
-        name: "4: an answer's end is not checked",
+        name: "4: the end of a response is not checked",
         file: "crates/wire/src/tally.rs",
         from: "if whole { Ok(()) }",
         to: "if whole || true { Ok(()) }",
@@ -138,7 +138,7 @@
         test: "is_an_error",
     },
     Mutation {
-        name: "5: a broken answer counts as not run",
+        name: "5: a broken response counts as not run",
         file: "crates/links/src/error.rs",
         from: "Self::Broken { .. } | Self::LinkLost => false,",
         to: "Self::Broken { .. } | Self::LinkLost => true,",
@@ -146,7 +146,7 @@
         test: "is_an_error",
     },
     Mutation {
-        name: "6: every request is repeated",
+        name: "6: every request is retried",
         file: "crates/gannetwayd/src/http/plain.rs",
         from: "let safe = self.repeatable || error.definitely_not_run();",
         to: "let safe = true;",
@@ -154,7 +154,7 @@
         test: "not_to_be_repeated",
     },
     Mutation {
-        name: "7: an engine's own word that it is leaving is not heard",
+        name: "7: an engine's own leaving flag is ignored",
         file: "crates/placement/src/replica.rs",
         from: "if reading.leaving {",
         to: "if false {",
@@ -162,7 +162,7 @@
         test: "leaving_engines",
     },
     Mutation {
-        name: "8: a stopping box does not say that it is leaving, and waits for nothing",
+        name: "8: a stopping box does not wait for requests in flight",
         file: "crates/gannetwayd/src/daemon.rs",
         from: "if left == 0 || time::Instant::now() >= limit {",
         to: "if true {",
@@ -170,7 +170,7 @@
         test: "stop_at_once",
     },
     Mutation {
-        name: "9: a lost answer is not read back",
+        name: "9: a write whose response was lost is not read back",
         file: "crates/gannetwayd/src/apply.rs",
         from: "if entry.write_id == write_id {",
         to: "if false {",
@@ -186,7 +186,7 @@
         test: "never_goes_back",
     },
     Mutation {
-        name: "platform: a slow copy ends the epoch while the store is away",
+        name: "platform: a slow copy ends the epoch during a store outage",
         file: "crates/shards/src/log_writer.rs",
         from: "let again = !refused && !ctx.view.store_state().up;",
         to: "let again = false && !refused;",
@@ -194,7 +194,7 @@
         test: "slow_copy_is_awaited_during_store_outage",
     },
     Mutation {
-        name: "platform: an entry box hears of the store from itself alone",
+        name: "platform: an entry box does not follow the feed",
         file: "crates/front/src/role.rs",
         from: "tokio::spawn(follow_feed(shared_view(), links.clone(), feeds, shutdown.clone()));",
         to: "drop((feeds, links.clone(), follow_feed));",
@@ -202,7 +202,7 @@
         test: "entry_box_without_store_learns_of_new_servers",
     },
     Mutation {
-        name: "platform: positions are given between two epochs",
+        name: "platform: positions are assigned between two epochs",
         file: "crates/jobs/src/table.rs",
         from: "        self.appends_suspended = true;",
         to: "",
@@ -210,7 +210,7 @@
         test: "no_result_is_listed",
     },
     Mutation {
-        name: "customers: a key that nobody has lets callers in",
+        name: "customers: an unknown key admits callers",
         file: "crates/routing/src/table.rs",
         from: "            None => CallerIdentity::Refused,",
         to: "            None => CallerIdentity::Anonymous,",
@@ -218,7 +218,7 @@
         test: "customers_and_their_keys",
     },
     Mutation {
-        name: "customers: a key that two customers name is the first one's",
+        name: "customers: a key shared by two customers belongs to the first",
         file: "crates/routing/src/customers.rs",
         from: "                occupied.insert(None);",
         to: "",
@@ -226,7 +226,7 @@
         test: "key_shared_by_two_customers",
     },
     Mutation {
-        name: "customers: a caller's own word of its customer travels on",
+        name: "customers: a forged customer header is forwarded",
         file: "platform/src/headers.rs",
         from: "    headers.remove(CUSTOMER);",
         to: "",
@@ -234,7 +234,7 @@
         test: "forged_customer_and_key_are_not_forwarded",
     },
     Mutation {
-        name: "customers: a key travels on to targets",
+        name: "customers: a key is forwarded to targets",
         file: "platform/src/headers.rs",
         from: "    headers.remove(AUTHORIZATION);",
         to: "",
@@ -242,7 +242,7 @@
         test: "forged_customer_and_key_are_not_forwarded",
     },
     Mutation {
-        name: "customers: a box whose settings may be old calls keys unknown",
+        name: "customers: a box with stale configuration rejects unknown keys",
         file: "crates/front/src/admission.rs",
         from: "    let is_current = view.has_fresh_config();",
         to: "    let is_current = view.is_configured();",
@@ -250,7 +250,7 @@
         test: "stale_config_does_not_reject_unknown_keys",
     },
     Mutation {
-        name: "customers: an item's engine is not told whose it is",
+        name: "customers: a run does not send the customer header to its engine",
         file: "crates/shards/src/run.rs",
         from: "        self.set_customer_header(&mut header_map);",
         to: "",
@@ -258,7 +258,7 @@
         test: "job_is_hidden_from_other_customers",
     },
     Mutation {
-        name: "customers: any customer may ask for any job",
+        name: "customers: any customer may access any job",
         file: "crates/jobs/src/reads.rs",
         from: "!owner.is_empty() && !customer.is_empty() && owner != customer",
         to: "false && owner != customer",
@@ -266,7 +266,7 @@
         test: "only_its_customer_may_access",
     },
     Mutation {
-        name: "customers: text of one customer's item goes into another's job",
+        name: "customers: text is carried over between customers",
         file: "crates/jobs/src/table.rs",
         from: "        if earlier.job.customer != job.customer {",
         to: "        if false {",
@@ -274,7 +274,7 @@
         test: "text_is_not_carried_over_between_customers",
     },
     Mutation {
-        name: "usage: a report is sent before it is fixed for others",
+        name: "usage: an uncertain write of a report is not read back",
         file: "crates/usage/src/plan.rs",
         from: "            StoreOutcome::Absent | StoreOutcome::Uncertain => self.last = LastReport::Unread,",
         to: "            StoreOutcome::Absent | StoreOutcome::Uncertain => self.last = LastReport::Absent,",
@@ -282,7 +282,7 @@
         test: "uncertain_write_is_read_back",
     },
     Mutation {
-        name: "usage: a new holder does not send the last report again",
+        name: "usage: a new leaseholder does not resend the last report",
         file: "crates/usage/src/plan.rs",
         from: "                // It is unknown whether the previous leaseholder sent it.\n                self.last = LastReport::Report { version, report, delivered: false };",
         to: "                self.last = LastReport::Report { version, report, delivered: true };",
@@ -290,7 +290,7 @@
         test: "failed_report_is_resent",
     },
     Mutation {
-        name: "usage: a step of the clocks is taken at once",
+        name: "usage: a clock step is accepted at once",
         file: "crates/usage/src/clock.rs",
         from: "has_quorum && now.since(since) >= STEP_WINDOW",
         to: "has_quorum && now >= since",
@@ -298,7 +298,7 @@
         test: "short_step_of_all_boxes",
     },
     Mutation {
-        name: "usage: an older word of a count takes its place",
+        name: "usage: an outdated report of a count replaces a newer one",
         file: "crates/usage/src/table.rs",
         from: "cell.requests >= received.requests",
         to: "cell.requests == received.requests",
@@ -306,7 +306,7 @@
         test: "duplicate_and_outdated_counts",
     },
     Mutation {
-        name: "suspects: only work with as many ends explains an end",
+        name: "suspects: only work with as many crashes explains a crash",
         file: "crates/suspects/src/table.rs",
         from: "count >= other.count() || (count >= QUARANTINE_CRASHES && unshared() >= UNEXPLAINED_CRASHES)",
         to: "count >= other.count() || (false && unshared() >= UNEXPLAINED_CRASHES)",
@@ -314,7 +314,7 @@
         test: "work_beside_two_poison_works",
     },
     Mutation {
-        name: "jobs: what is left of a listed item is taken for its text",
+        name: "jobs: the remaining flags of a listed item are reused as a complete text",
         file: "crates/jobs/src/table.rs",
         from: "            state.items[index].clear_text();",
         to: "            state.items[index].text = Vec::new();",
@@ -322,7 +322,7 @@
         test: "an_item_that_was_given_up_is_generated_again",
     },
     Mutation {
-        name: "copies: all of them lie in the server's own domain",
+        name: "copies: all copies are in the server's own domain",
         file: "crates/joblog/src/takeover.rs",
         from: "        let local = local.filter(|_| !chosen.is_empty());",
         to: "",
@@ -330,7 +330,7 @@
         test: "the_first_partner_is_in_another_domain",
     },
     Mutation {
-        name: "suspects: breaks that wait for word are not bounded",
+        name: "suspects: unresolved disconnects are not bounded",
         file: "crates/suspects/src/table.rs",
         from: "!involves(suspect) && suspect.breaks.len() < MAX_BREAKS",
         to: "!involves(suspect) && suspect.breaks.len() < usize::MAX",
@@ -338,7 +338,7 @@
         test: "unresolved_breaks_are_bounded",
     },
     Mutation {
-        name: "replicas: a store that is away lists a shortage",
+        name: "replicas: an outdated listing counts as a shortage",
         file: "crates/replicas/src/lib.rs",
         from: "            self.shortages.clear();",
         to: "",
@@ -354,7 +354,7 @@
         test: "short_crash_orders_nothing",
     },
     Mutation {
-        name: "usage: a box that reports hears from no domain without a teller",
+        name: "usage: a domain without a feed source does not report its usage",
         file: "crates/node/src/feed/client.rs",
         from: "                self.report_usage_to_other_domain().await;",
         to: "",
@@ -362,7 +362,7 @@
         test: "usage_is_reported_once_per_window_across_holders",
     },
     Mutation {
-        name: "platform: nobody stands in for a holder whom the store refuses",
+        name: "platform: no box replaces a leaseholder that cannot reach the store",
         file: "crates/shards/src/claim.rs",
         from: "|| is_fallback_holder(ctx, lease);",
         to: "; let _ = is_fallback_holder;",
@@ -370,7 +370,7 @@
         test: "lease_holder_without_store_is_replaced",
     },
     Mutation {
-        name: "platform: a box that is cut off stays ready",
+        name: "platform: an isolated box stays ready",
         file: "crates/front/src/server.rs",
         from: "let is_operational = self.view.is_configured() && !self.view.is_isolated();",
         to: "let is_operational = self.view.is_configured();",
@@ -378,7 +378,7 @@
         test: "isolated_entry_box_reports_not_ready",
     },
     Mutation {
-        name: "platform: a silent link counts as one that rests",
+        name: "platform: an unresponsive link counts as idle",
         file: "crates/links/src/pulse.rs",
         from: "if now >= pong_by { PulseStep::Dead }",
         to: "if now >= pong_by { PulseStep::Rested }",
@@ -386,7 +386,7 @@
         test: "silent_link",
     },
     Mutation {
-        name: "platform: kept connections are used after a silent one",
+        name: "platform: idle connections are reused after one became unresponsive",
         file: "crates/upstream/src/pool.rs",
         from: "self.lock().clear();",
         to: "let _ = self.lock();",
@@ -402,7 +402,7 @@
         test: "a_long_text_of_a_later_job",
     },
     Mutation {
-        name: "platform: the most outdated engines load first, whatever their model",
+        name: "platform: the most outdated engines load first, regardless of their model",
         file: "crates/swaps/src/loads.rs",
         from: "fresh * 1_000 / all.max(1)",
         to: "0 * fresh * all",
@@ -410,7 +410,7 @@
         test: "the_model_with_the_smallest_fraction",
     },
     Mutation {
-        name: "platform: texts that lie on disk are not read back",
+        name: "platform: texts on disk are not read back",
         file: "crates/shards/src/handler.rs",
         from: "page.results[index] = result;",
         to: "drop(result);",
@@ -418,7 +418,7 @@
         test: "old_ended_jobs_are_read_from_disk",
     },
     Mutation {
-        name: "platform: an answer about any kind proves the settings",
+        name: "platform: a response about any kind proves the configuration fresh",
         file: "crates/node/src/follow.rs",
         from: "self.view.feed.record_proof(self.kind, self.view.now());",
         to: "self.view.feed.record_proof(Kind::Configuration, self.view.now());",
@@ -426,7 +426,7 @@
         test: "response_for_other_kind_does_not_prove_configuration",
     },
     Mutation {
-        name: "platform: trust in what is told does not end by the clock",
+        name: "platform: feed freshness does not expire",
         file: "crates/node/src/feed/freshness.rs",
         from: "let stale_at = proof.proven_at + self.max_proof_age;",
         to: "let stale_at = proof.proven_at + self.max_proof_age * 100;",
@@ -434,7 +434,7 @@
         test: "freshness_lasts_while_proofs_arrive",
     },
     Mutation {
-        name: "platform: a connection to the store that rested is used again",
+        name: "platform: an idle connection to the store is reused",
         file: "platform/src/store.rs",
         from: "const IDLE_TIMEOUT: Duration = Duration::from_millis(600);",
         to: "const IDLE_TIMEOUT: Duration = Duration::from_secs(60);",
@@ -442,7 +442,7 @@
         test: "idle_connection_is_not_reused",
     },
     Mutation {
-        name: "platform: a reward call is cut off where most have ended",
+        name: "platform: a reward call times out after the maximum hedge delay",
         file: "crates/jobs/src/reward_plan.rs",
         from: "limit: timeout.unwrap_or(DEFAULT_LIMIT) }",
         to: "limit: timeout.unwrap_or(DEFAULT_LIMIT).min(MAX_HEDGE_DELAY) }",
@@ -450,7 +450,7 @@
         test: "slow_on_every_target",
     },
     Mutation {
-        name: "platform: a reward call waits for a silent target alone",
+        name: "platform: a reward call to an unresponsive target is not hedged",
         file: "crates/jobs/src/reward_plan.rs",
         from: "(calls_made < MAX_CALLS && at < self.limit).then_some(at)",
         to: "(calls_made < 1 && at < self.limit).then_some(at)",
@@ -466,7 +466,7 @@
         test: "a_reward_call_does_not_wait",
     },
     Mutation {
-        name: "platform: a box that starts lists what it is about to be told",
+        name: "platform: a starting box lists the store instead of waiting for the feed",
         file: "crates/node/src/follow.rs",
         from: "            self.start_mode = StartMode::AwaitFeed;",
         to: "            self.start_mode = StartMode::List;",
@@ -474,7 +474,7 @@
         test: "box_served_by_feed_at_start_does_not_call_store",
     },
     Mutation {
-        name: "platform: few boxes with disks have many shards",
+        name: "platform: a deployment with few storage boxes has many shards",
         file: "crates/joblog/src/layout.rs",
         from: "copies.max(1) * BOXES_PER_COPY",
         to: "copies.max(1)",
@@ -482,7 +482,7 @@
         test: "a_small_deployment_has_one_shard",
     },
     Mutation {
-        name: "platform: a copy that is known to be lost is waited for",
+        name: "platform: a takeover waits for copies that are known to be lost",
         file: "crates/joblog/src/takeover.rs",
         from: "let rank = rank.saturating_sub(view.lost_before);",
         to: "let rank = rank.saturating_sub(0 * view.lost_before);",
@@ -490,7 +490,7 @@
         test: "takeover_does_not_wait_for_lost_copies",
     },
     Mutation {
-        name: "platform: trainers behind one host share one server",
+        name: "platform: trainers on one host share one server",
         file: "crates/joblog/src/takeover.rs",
         from: r#"format!("{} {model}", host.to_ascii_lowercase())"#,
         to: r#"format!("{} {}", host.to_ascii_lowercase(), &model[..0])"#,
@@ -498,7 +498,7 @@
         test: "trainers_on_one_host",
     },
     Mutation {
-        name: "platform: a job is called unknown while a shard without a server may hold it",
+        name: "platform: a job is reported unknown while a shard without a server may contain it",
         file: "crates/front/src/search.rs",
         from: "ShardFault::NotServed => 2,",
         to: "ShardFault::NotServed => 0,",
@@ -506,7 +506,7 @@
         test: "unknown_only_when_all_shards_say_so",
     },
     Mutation {
-        name: "platform: one box begins several shards",
+        name: "platform: one box is the initial server of several shards",
         file: "crates/joblog/src/takeover.rs",
         from: "        initial_servers.push(first);",
         to: "        let _ = first;",
@@ -514,7 +514,7 @@
         test: "initial_servers_are_distinct_boxes",
     },
     Mutation {
-        name: "platform: servers find loads out by refusals",
+        name: "platform: servers learn of weight loads only from refusals",
         file: "crates/shards/src/loads.rs",
         from: "if load.ended { now } else { now + LOAD_REPORT_TTL }",
         to: "if load.ended { now } else { now + LOAD_REPORT_TTL * 0 }",
@@ -522,7 +522,7 @@
         test: "load_reports_prevent_most_refusals",
     },
     Mutation {
-        name: "platform: no connection is used again where a target tells one second",
+        name: "platform: connections are not reused if the keep-alive timeout of a target is one second",
         file: "crates/upstream/src/response.rs",
         from: "const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(300);",
         to: "const KEEP_ALIVE_MARGIN: Duration = Duration::from_secs(1);",
@@ -530,7 +530,7 @@
         test: "timeout_of_one_second",
     },
     Mutation {
-        name: "platform: boxes that are told ask a silent store as often as the one that tells",
+        name: "platform: boxes with a feed source probe an unresponsive store as often as the source",
         file: "crates/node/src/probe.rs",
         from: "            _ if has_source => FEED_PAUSE,",
         to: "            _ if has_source && failures > 99 => FEED_PAUSE,",
@@ -538,7 +538,7 @@
         test: "boxes_with_feed_source_probe_store_less",
     },
     Mutation {
-        name: "platform: items wait for connections that rest",
+        name: "platform: items wait for idle connections to close",
         file: "crates/upstream/src/pool.rs",
         from: "        if !self.limit.has_capacity() {\n            self.close_idle();\n        }\n",
         to: "",
@@ -554,7 +554,7 @@
         test: "job_is_found_in_any_shard",
     },
     Mutation {
-        name: "suspects: a closed connection counts as the end of its target",
+        name: "suspects: a closed connection counts as a crash of its target",
         file: "crates/node/src/disconnects.rs",
         from: "    if state == PortState::Refuses {",
         to: "    if state != PortState::Unresponsive {",
@@ -562,7 +562,7 @@
         test: "broken_connections_quarantine_nothing",
     },
     Mutation {
-        name: "suspects: the end of a target that leaves counts",
+        name: "suspects: the exit of a leaving target counts as a crash",
         file: "crates/node/src/sinks.rs",
         from: "                    self.view.suspects().clear_incarnation(&record.incarnation());\n",
         to: "",
@@ -570,7 +570,7 @@
         test: "draining_targets_quarantine_nothing",
     },
     Mutation {
-        name: "suspects: what other work explains condemns all the same",
+        name: "suspects: crashes that other work explains still count",
         file: "crates/suspects/src/table.rs",
         from: "explaining.iter().any(|other| other.has_crash_of(&crash.life))",
         to: "explaining.iter().any(|other| other.count() > 99 && other.has_crash_of(&crash.life))",
@@ -578,7 +578,7 @@
         test: "single_poison_work_quarantines_no_other",
     },
     Mutation {
-        name: "suspects: two lethal works hide behind each other",
+        name: "suspects: two poison requests that crash targets together are not quarantined",
         file: "crates/suspects/src/verdict.rs",
         from: "self.crashes >= UNCONDITIONAL_QUARANTINE_CRASHES\n            || ",
         to: "self.crashes >= 99 * UNCONDITIONAL_QUARANTINE_CRASHES\n            || ",
@@ -586,7 +586,7 @@
         test: "always_crash_together",
     },
     Mutation {
-        name: "suspects: work that one more end would condemn runs beside other such work",
+        name: "suspects: work close to quarantine runs beside other such work",
         file: "crates/suspects/src/table.rs",
         from: "required: suspect.is_some_and(|entry| entry.count() >= ISOLATION_CRASHES),",
         to: "required: suspect.is_some_and(|entry| entry.count() >= 99 * ISOLATION_CRASHES),",
@@ -594,7 +594,7 @@
         test: "concurrent_poison_requests_are_told_apart_from_other_work",
     },
     Mutation {
-        name: "suspects: an answer frees nobody",
+        name: "suspects: a response does not clear its work",
         file: "crates/node/src/plain.rs",
         from: "        TryOutcome::Answered => view.suspects().succeeded(work),\n",
         to: "",
@@ -602,7 +602,7 @@
         test: "independent_crashes_quarantine_nothing",
     },
     Mutation {
-        name: "suspects: other boxes are not told",
+        name: "suspects: crashes are not published to other boxes",
         file: "crates/suspects/src/table.rs",
         from: "        (worth_publishing && changed) || self.trial",
         to: "        (worth_publishing && changed && count > 99) || self.trial",
@@ -610,7 +610,7 @@
         test: "poison_request_is_refused_at_every_box",
     },
     Mutation {
-        name: "suspects: a condemned item holds up its job",
+        name: "suspects: a quarantined item blocks its job",
         file: "crates/jobs/src/scheduling.rs",
         from: "                    candidates.extend(self.candidate(now, next.job, next.offset + 1, next.blocked));",
         to: "                    candidates.extend(self.candidate(now, next.job, next.offset + 1, true));",
@@ -618,7 +618,7 @@
         test: "a_quarantined_item_waits_without_blocking_others",
     },
     Mutation {
-        name: "suspects: a box that starts waits before it believes what is told",
+        name: "suspects: a starting box does not apply stored crashes",
         file: "crates/suspects/src/table.rs",
         from: "            suspect.settled |= suspect.stored_crashes.len() >= QUARANTINE_CRASHES;",
         to: "            suspect.settled |= suspect.stored_crashes.len() >= 99 * QUARANTINE_CRASHES;",
@@ -626,7 +626,7 @@
         test: "starting_box_applies_stored",
     },
     Mutation {
-        name: "suspects: a life behind a cut that refuses counts as ended",
+        name: "suspects: crashes of an incarnation that is still alive are not cleared",
         file: "crates/suspects/src/table.rs",
         from: "            suspect.local_crashes.retain(|crash| crash.life != *incarnation);",
         to: "",
@@ -634,7 +634,7 @@
         test: "refusing_incarnation_that_stays",
     },
     Mutation {
-        name: "suspects: every box makes the trial",
+        name: "suspects: every box runs the trial",
         file: "crates/suspects/src/table.rs",
         from: "        suspect.trial == Trial::Granted\n",
         to: "        suspect.trial != Trial::None\n",
@@ -642,7 +642,7 @@
         test: "gets_three_trials",
     },
     Mutation {
-        name: "platform: a watch on a silent connection waits for its own end",
+        name: "platform: a watch on an unresponsive connection waits for its own timeout",
         file: "crates/node/src/follow.rs",
         from: "    if kind == Kind::Configuration {",
         to: "    if kind == Kind::Configuration || kind == Kind::ClusterState {",
@@ -650,7 +650,7 @@
         test: "quarantine_does_not_wait_for_unresponsive_watch",
     },
     Mutation {
-        name: "platform: a cold target's rate is each box's own",
+        name: "platform: each box sends at the full rate of a cold target",
         file: "crates/routing/src/cold.rs",
         from: "let shared_quota = self.max_per_second / MAX_SERVERS_PER_SHARD;",
         to: "let shared_quota = self.max_per_second * shards;",
@@ -658,7 +658,7 @@
         test: "all_senders_together_keep",
     },
     Mutation {
-        name: "platform: a target that broke off counts as warm",
+        name: "platform: a target that broke a connection counts as warm",
         file: "crates/routing/src/target_table.rs",
         from: "                    state.mark_cold(now + limit.time);\n                }\n                let backoff",
         to: "                    let _warm = limit.time;\n                }\n                let backoff",
@@ -666,7 +666,7 @@
         test: "broken_target_counts_as_cold",
     },
     Mutation {
-        name: "platform: work goes to domains that are to be emptied",
+        name: "platform: work goes to evacuated domains",
         file: "crates/routing/src/target_state.rs",
         from: "rules.evacuated.contains(&self.record.domain)\n            || self",
         to: "self",
@@ -674,7 +674,7 @@
         test: "evacuated_domain_gets",
     },
     Mutation {
-        name: "platform: a listing after a gap tells everybody the difference alone",
+        name: "platform: a revision inside a gap gets only the difference",
         file: "crates/node/src/feed/cache.rs",
         from: "revision < self.floor || self.may_have_unseen_objects(revision)",
         to: "revision < self.floor",
@@ -682,7 +682,7 @@
         test: "revision_inside_gap_gets_full_update",
     },
     Mutation {
-        name: "platform: a service that is called later is not listed anew",
+        name: "platform: a service that is routed later is not served by the feed",
         file: "crates/node/src/feed/mod.rs",
         from: "(Some(received), Some(wanted)) => !wanted.is_subset(received),",
         to: "(Some(_), Some(_)) => false,",
@@ -690,7 +690,7 @@
         test: "service_that_is_routed_later_is_served",
     },
     Mutation {
-        name: "platform: questions that brought nothing are asked again at once",
+        name: "platform: polls that returned nothing are repeated at once",
         file: "crates/node/src/feed/client.rs",
         from: "time::sleep_until(polled_at + MIN_POLL_INTERVAL).await;",
         to: "let _none = MIN_POLL_INTERVAL;",
@@ -698,7 +698,7 @@
         test: "source_with_old_proof_is_not_polled_in_tight_loop",
     },
     Mutation {
-        name: "platform: each box lists many targets when history is gone",
+        name: "platform: each box lists all targets itself when history is gone",
         file: "crates/node/src/follow.rs",
         from: "                    if was_served\n",
         to: "                    if !was_served\n",
@@ -706,7 +706,7 @@
         test: "box_without_history_gets_targets_from_feed",
     },
     Mutation {
-        name: "platform: all boxes with disks are at work",
+        name: "platform: all storage boxes are active",
         file: "crates/joblog/src/standby.rs",
         from: "const ACTIVE_PER_DOMAIN: usize = 4;",
         to: "const ACTIVE_PER_DOMAIN: usize = 4_000;",
@@ -714,7 +714,7 @@
         test: "the_number_of_active_boxes_does_not_grow",
     },
     Mutation {
-        name: "platform: a model is followed by its share of all engines",
+        name: "platform: the engines that a model needs grow with the fleet",
         file: "crates/swaps/src/shares.rs",
         from: "MIN_ENGINES + (filled * ENGINES_PER_FULL).ceil() as usize",
         to: "MIN_ENGINES + (filled * ENGINES_PER_FULL * 1e6).ceil() as usize",
@@ -722,7 +722,7 @@
         test: "a_larger_fleet_needs_no_more_engines",
     },
     Mutation {
-        name: "platform: a new life under an old id is taken for the old one",
+        name: "platform: a new incarnation under an old id is treated as the old one",
         file: "crates/routing/src/target_table.rs",
         from: "filter(|state| state.record.born == record.born)",
         to: "filter(|state| state.record.born <= record.born)",
@@ -730,7 +730,7 @@
         test: "new_incarnation_starts",
     },
     Mutation {
-        name: "platform: a caller that leaves keeps its place at the target",
+        name: "platform: a dropped call stays counted as in flight at its target",
         file: "crates/node/src/slot.rs",
         from: "        self.view.target_table().ended(&self.slot.instance);\n",
         to: "",
@@ -738,7 +738,7 @@
         test: "dropped_call_is_not_counted_in_flight",
     },
     Mutation {
-        name: "platform: what is believed is counted without suspensions",
+        name: "platform: the clock does not count suspensions",
         file: "crates/node/src/clock.rs",
         from: "                started.elapsed() + suspended\n",
         to: "                started.elapsed() + suspended * 0\n",
@@ -747,31 +747,32 @@
     },
 ];
 
-/// Runs every mutation; an error names those that no test noticed.
+/// Runs every mutation whose name contains `only`. Returns an error that lists the mutations that
+/// no test detected.
 pub fn mutate(root: &Path, only: Option<&str>) -> io::Result<()> {
     let copy = root.join("target/mutate/tree");
-    let mut unnoticed = Vec::new();
+    let mut undetected = Vec::new();
     for mutation in MUTATIONS.iter().filter(|m| only.is_none_or(|only| m.name.contains(only))) {
-        refresh(root, &copy)?;
-        // A test that fails anyway would notice everything.
-        if !passes(&copy, mutation)? {
-            let fault = format!("{}: its test fails without any mutation", mutation.name);
+        update_copy(root, &copy)?;
+        // A test that fails without the mutation would appear to detect it.
+        if !test_passes(&copy, mutation)? {
+            let fault = format!("{}: its test fails without the mutation", mutation.name);
             return Err(io::Error::other(fault));
         }
         mutation.edit().apply(&copy)?;
-        let noticed = !passes(&copy, mutation)?;
-        println!("{} {}", if noticed { "noticed  " } else { "UNNOTICED" }, mutation.name);
-        if !noticed {
-            unnoticed.push(mutation.name);
+        let detected = !test_passes(&copy, mutation)?;
+        println!("{} {}", if detected { "noticed  " } else { "UNNOTICED" }, mutation.name);
+        if !detected {
+            undetected.push(mutation.name);
         }
     }
-    if unnoticed.is_empty() {
+    if undetected.is_empty() {
         return Ok(());
     }
-    Err(io::Error::other(format!("no test noticed: {}", unnoticed.join("; "))))
+    Err(io::Error::other(format!("no test detected: {}", undetected.join("; "))))
 }
 
-fn passes(copy: &Path, mutation: &Mutation) -> io::Result<bool> {
+fn test_passes(copy: &Path, mutation: &Mutation) -> io::Result<bool> {
     let cargo = |args: &[&str]| {
         Command::new("cargo")
             .args(args)
--- a/crates/xtask/src/scratch.rs
+++ b/crates/xtask/src/scratch.rs
@@ -1,47 +1,47 @@
-//! A scratch copy of the tree, and edits of its sources.
+//! A scratch copy of the source tree, and text edits of its files.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::{fs, io};
 
-/// A piece of source and what takes its place.
+/// A text replacement in one source file.
 #[derive(Debug, Clone, Copy)]
 pub struct SourceEdit {
-    /// Path from the root.
+    /// Path relative to the repository root.
     pub file: &'static str,
-    /// What stands there now; its first place is changed.
+    /// Text to replace; only the first occurrence is replaced.
     pub from: &'static str,
-    /// What stands there instead.
+    /// Replacement text.
     pub to: &'static str,
 }
 
 impl SourceEdit {
-    /// Edits the tree at `root`.
+    /// Applies the edit to the tree at `root`.
     pub fn apply(&self, root: &Path) -> io::Result<()> {
         let text = self.find(root)?;
         fs::write(root.join(self.file), text.replacen(self.from, self.to, 1))
     }
 
-    /// The text of the file to edit; an error when what is to be changed does not stand there.
+    /// Returns the content of the file to edit, or an error if it does not contain `from`.
     pub fn find(&self, root: &Path) -> io::Result<String> {
         let text = fs::read_to_string(root.join(self.file))?;
         if text.contains(self.from) {
             return Ok(text);
         }
-        let fault = format!("`{}` is not in {}: bring the table up to date", self.from, self.file);
+        let fault = format!("`{}` is not in {}: update the edit", self.from, self.file);
         Err(io::Error::other(fault))
     }
 }
 
-/// Copies the tracked tree at `root` to `copy`.
-pub fn refresh(root: &Path, copy: &Path) -> io::Result<()> {
+/// Copies all files tracked by git from `root` to `copy`.
+pub fn update_copy(root: &Path, copy: &Path) -> io::Result<()> {
     fs::create_dir_all(copy)?;
     let listed = Command::new("git").args(["ls-files", "-z"]).current_dir(root).output()?;
     for name in listed.stdout.split(|byte| *byte == 0).filter(|name| !name.is_empty()) {
         let name = PathBuf::from(String::from_utf8_lossy(name).into_owned());
         let (from, to) = (root.join(&name), copy.join(&name));
         let text = fs::read(&from)?;
-        // Untouched files keep their times, so that only what was changed is built again.
+        // Keeps the modification time of unchanged files, so that cargo rebuilds only changed ones.
         if fs::read(&to).ok().as_ref() == Some(&text) {
             continue;
         }
