--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -8,7 +8,7 @@
 use ids::{ContentDigest, ModelVersion};
 use placement::{PlacementPolicy, TargetChooser};
 use sessions::{Fault, FaultPlan, Verdict, World, WorldPlan};
-use standins::engine_model::{CHUNK_TOKENS, EngineSettings, answer_length};
+use standins::engine_model::{CHUNK_TOKENS, EngineSettings, response_length};
 
 use crate::baselines::{LeastReported, RoundRobin, TwoRandom};
 use crate::table;
@@ -86,7 +86,7 @@
     for slot in 0..u64::from(plan.groups) * u64::from(plan.samples) {
         let group = slot / u64::from(plan.samples);
         let prompt = ContentDigest::of(plan.prompt(group).as_bytes()).get();
-        let length = answer_length(prompt, slot, settings.shortest, LONGEST);
+        let length = response_length(prompt, slot, settings.min_tokens, LONGEST);
         longest = longest.max(length);
         all += length;
     }
--- a/crates/demo/src/fleet.rs
+++ b/crates/demo/src/fleet.rs
@@ -212,7 +212,7 @@
         if let Some(relay) = relay {
             let bound = child.addresses.get(BOUND_WORD).and_then(|address| address.parse().ok());
             if let Some(address) = bound {
-                relay.aim(address);
+                relay.set_target(address);
             }
             self.relays.insert(id.clone(), relay);
         }
--- a/crates/links/tests/silent_links.rs
+++ b/crates/links/tests/silent_links.rs
@@ -59,7 +59,7 @@
     let key = DeploymentKey::new(KEY).expect("long enough");
     tokio::spawn(serve_links(listener, key, QuickHandler, CancellationToken::new()));
     let proxy = FaultProxy::start().await.expect("a free port");
-    proxy.aim(target);
+    proxy.set_target(target);
     proxy
 }
 
@@ -76,11 +76,11 @@
 /// Which way a connection falls silent.
 fn ways() -> [fn(&mut LinkFaults); 3] {
     [
-        |faults| faults.silences_there += 1,
-        |faults| faults.silences_back += 1,
+        |faults| faults.silences_to_target += 1,
+        |faults| faults.silences_from_target += 1,
         |faults| {
-            faults.silences_there += 1;
-            faults.silences_back += 1;
+            faults.silences_to_target += 1;
+            faults.silences_from_target += 1;
         },
     ]
 }
--- a/crates/sessions/src/world.rs
+++ b/crates/sessions/src/world.rs
@@ -74,7 +74,7 @@
             engine: EngineSettings {
                 step: Duration::from_millis(5),
                 load_time: Duration::from_millis(200),
-                shortest: 24,
+                min_tokens: 24,
                 ..EngineSettings::default()
             },
             swap: SwapPolicy::Rolling { at_once: 1 },
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -1,4 +1,4 @@
-//! An engine over HTTP: the model of [`crate::engine_model`] driven by the runtime's clock.
+//! An engine over HTTP: runs the model of [`crate::engine_model`] on the clock of the runtime.
 
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -28,26 +28,26 @@
 
 use crate::engine_model::{EngineModel, EngineSettings, OrderStart, StreamId, StreamStep};
 
-/// Exit code of a crash on command.
+/// Exit code of a requested crash.
 const CRASH_CODE: i32 = 70;
-/// How old a load report is.
-const REPORT_LAG: Duration = Duration::from_millis(200);
+/// Minimum time between two updates of the load report.
+const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Switches for faults; all off by default.
+/// Fault switches; all off by default.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineFaults {
-    /// The process ends at once.
+    /// Exits the process at once.
     pub crash: bool,
-    /// The engine says that it is leaving and refuses new work.
+    /// Reports that the engine is leaving, and refuses new work.
     pub leaving: bool,
-    /// This many orders take effect and lose their answer.
+    /// Number of orders to apply without sending the response.
     pub lose_order_answers: u32,
-    /// This many orders are refused.
+    /// Number of orders to refuse.
     pub refuse_orders: u32,
-    /// This many chunks come without a stamp.
+    /// Number of chunks to send without a version stamp.
     pub drop_stamps: u32,
-    /// This many streams stop in the middle.
+    /// Number of streams to cut after at least two chunks, without an end line.
     pub cut_streams: u32,
 }
 
@@ -55,29 +55,29 @@
 struct Inner {
     model: EngineModel,
     faults: EngineFaults,
-    streams: BTreeMap<StreamId, StreamOut>,
+    streams: BTreeMap<StreamId, StreamOutput>,
     by_request: BTreeMap<String, StreamId>,
     report: (Moment, LoadReport),
 }
 
 #[derive(Debug)]
-struct StreamOut {
+struct StreamOutput {
     lines: mpsc::UnboundedSender<EngineLine>,
     seed: u64,
     digest: DigestWriter,
     tokens: u32,
 }
 
-/// One engine.
+/// Handle to a simulated engine; clones share its state.
 #[derive(Debug, Clone)]
 pub struct EngineStandin {
     inner: Arc<Mutex<Inner>>,
-    work: Arc<Notify>,
+    work_added: Arc<Notify>,
     started: Instant,
 }
 
 impl EngineStandin {
-    /// An engine that holds `version`; its driver runs as a task of the current runtime.
+    /// Starts an engine with `version` loaded. Spawns its driver on the current runtime.
     pub fn start(
         settings: EngineSettings,
         incarnation: Incarnation,
@@ -92,10 +92,10 @@
         };
         let standin = Self {
             inner: Arc::new(Mutex::new(inner)),
-            work: Arc::default(),
+            work_added: Arc::default(),
             started: Instant::now(),
         };
-        tokio::spawn(standin.clone().drive());
+        tokio::spawn(standin.clone().run_steps());
         standin
     }
 
@@ -112,11 +112,11 @@
         Moment::after_start(self.started.elapsed())
     }
 
-    async fn drive(self) {
+    async fn run_steps(self) {
         loop {
             let next = self.lock().model.next_at();
             let Some(at) = next else {
-                self.work.notified().await;
+                self.work_added.notified().await;
                 continue;
             };
             time::sleep_until(self.started + at.since_start()).await;
@@ -147,7 +147,7 @@
             incarnation,
             text,
         };
-        let gone = out.lines.send(chunk).is_err();
+        let is_disconnected = out.lines.send(chunk).is_err();
         if self.faults.cut_streams > 0 && step.index > 0 {
             self.faults.cut_streams -= 1;
             self.streams.remove(&step.stream);
@@ -158,28 +158,29 @@
                 tokens: TokenCount::new(out.tokens),
                 digest: out.digest.digest(),
             };
-            // The reader may be gone; the stream is removed either way.
-            let _gone = out.lines.send(end);
+            // The reader may have disconnected. The stream is removed either way.
+            let _disconnected = out.lines.send(end);
         }
-        if step.last || gone {
+        if step.last || is_disconnected {
             self.streams.remove(&step.stream);
         }
     }
 }
 
-/// Text of a chunk: the same for the same seed and place, so that remakes can be compared.
+/// Returns the text of a chunk. The same seed and position give the same text, so that repeated
+/// generations can be compared.
 fn chunk_text(seed: u64, step: &StreamStep) -> String {
     let mut text = String::with_capacity(step.tokens as usize * TOKEN_CHARS);
     for token in 0..step.tokens {
-        let place = [seed, u64::from(step.index), u64::from(token)].map(u64::to_le_bytes);
-        let digest = ContentDigest::of(place.as_flattened()).to_string();
+        let position = [seed, u64::from(step.index), u64::from(token)].map(u64::to_le_bytes);
+        let digest = ContentDigest::of(position.as_flattened()).to_string();
         text.push_str(&digest[..TOKEN_CHARS - 1]);
         text.push(' ');
     }
     text
 }
 
-/// The engine's routes.
+/// Returns the HTTP routes of an engine.
 pub fn router(standin: EngineStandin) -> Router {
     Router::new()
         .route("/v1/generate", post(generate))
@@ -206,10 +207,10 @@
         let prompt = ContentDigest::of(request.prompt.as_bytes()).get();
         let id = inner.model.start(now, prompt, request.seed, request.max_tokens.get());
         let digest = DigestWriter::default();
-        inner.streams.insert(id, StreamOut { lines, seed: request.seed, digest, tokens: 0 });
+        inner.streams.insert(id, StreamOutput { lines, seed: request.seed, digest, tokens: 0 });
         inner.by_request.insert(request.request_id.to_string(), id);
     }
-    standin.work.notify_one();
+    standin.work_added.notify_one();
     let body = stream::unfold(receiver, |mut receiver| async {
         let line = receiver.recv().await?;
         Some((Ok::<Bytes, Infallible>(encode_line(&line)), receiver))
@@ -239,7 +240,7 @@
 async fn read_state(State(standin): State<EngineStandin>) -> Json<EngineState> {
     let now = standin.now();
     let mut inner = standin.lock();
-    let load = inner.lagging_load(now);
+    let load = inner.load_report(now);
     let state = EngineState {
         incarnation: inner.model.incarnation(),
         version: Some(inner.model.version(now)),
@@ -252,9 +253,9 @@
 }
 
 impl Inner {
-    fn lagging_load(&mut self, now: Moment) -> LoadReport {
+    fn load_report(&mut self, now: Moment) -> LoadReport {
         let (taken_at, report) = self.report;
-        if now.since(taken_at) >= REPORT_LAG {
+        if now.since(taken_at) >= REPORT_INTERVAL {
             let fresh = LoadReport {
                 running: u32::try_from(self.model.running()).unwrap_or(u32::MAX),
                 waiting: u32::try_from(self.model.waiting()).unwrap_or(u32::MAX),
--- a/crates/standins/src/engine_model.rs
+++ b/crates/standins/src/engine_model.rs
@@ -1,8 +1,8 @@
-//! An engine without I/O: continuous batching, a prefix cache, swaps in place.
+//! A simulated engine without I/O: continuous batching, a prefix cache, in-place weight swaps.
 //!
-//! Time moves in quanta of [`CHUNK_TOKENS`] decode steps. In each quantum every stream of the
-//! batch gets its next chunk, and a quantum takes longer the larger the batch is. Lengths are
-//! heavy-tailed; siblings of a prompt share a scale.
+//! Time advances in quanta of [`CHUNK_TOKENS`] decode steps. Each quantum produces the next chunk
+//! of every stream in the batch and takes longer with a larger batch. Response lengths are
+//! heavy-tailed; samples of the same prompt share a scale.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,30 +11,29 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Tokens of one chunk.
+/// Number of tokens in a chunk.
 pub const CHUNK_TOKENS: u32 = 8;
-/// Tail index of the length distribution; between 1 and 2 the mean exists and the tail is
-/// heavy, as samples of a group are.
-const TAIL: f64 = 1.6;
+/// Tail index of the Pareto distribution of lengths: a finite mean and an infinite variance.
+const TAIL_INDEX: f64 = 1.6;
 
-/// How an engine behaves.
+/// Settings of a simulated engine.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineSettings {
-    /// One decode step of a batch of one.
+    /// Duration of a decode step with one stream.
     pub step: Duration,
-    /// What each further stream adds to a step.
+    /// Additional duration of a step for each further stream.
     pub step_per_stream: Duration,
-    /// Most streams in the batch.
-    pub most_running: usize,
-    /// Prefill of a prompt that is not cached.
+    /// Maximum number of streams in the batch.
+    pub max_running: usize,
+    /// Prefill time of a prompt that is not cached.
     pub prefill: Duration,
-    /// Prompts that the prefix cache holds.
+    /// Capacity of the prefix cache, in prompts.
     pub cached_prompts: usize,
-    /// Time from an order to the new version.
+    /// Time to load a version.
     pub load_time: Duration,
-    /// Shortest answer, in tokens.
-    pub shortest: u32,
-    /// Whether orders with an old fencing token are refused.
+    /// Minimum response length, in tokens, unless a request has a lower limit.
+    pub min_tokens: u32,
+    /// Whether the engine refuses orders with an old fencing token.
     pub checks_fencing: bool,
 }
 
@@ -43,41 +42,41 @@
         Self {
             step: Duration::from_millis(1),
             step_per_stream: Duration::from_micros(30),
-            most_running: 32,
+            max_running: 32,
             prefill: Duration::from_millis(20),
             cached_prompts: 64,
             load_time: Duration::from_millis(300),
-            shortest: 24,
+            min_tokens: 24,
             checks_fencing: true,
         }
     }
 }
 
-/// Names a stream within one engine.
+/// Identifies a stream within an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StreamId(u64);
 
-/// What a quantum produced for one stream.
+/// A chunk that a quantum produced for one stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StreamStep {
-    /// The stream.
+    /// Stream of the chunk.
     pub stream: StreamId,
-    /// Position of the chunk.
+    /// Index of the chunk within its stream, from 0.
     pub index: u32,
-    /// Tokens of the chunk.
+    /// Number of tokens in the chunk.
     pub tokens: u32,
-    /// The version that made them.
+    /// Model version that generated the chunk.
     pub version: ModelVersion,
-    /// Whether the stream ends with this chunk.
+    /// Whether this is the last chunk of the stream.
     pub last: bool,
 }
 
-/// How an order began.
+/// Result of starting an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderStart {
-    /// The version is there at this moment.
+    /// The version is loaded at this time.
     LoadedAt(Moment),
-    /// The token is older than one already obeyed.
+    /// Refused: the fencing token is older than this one, which the engine has accepted.
     OldToken(FencingToken),
 }
 
@@ -86,12 +85,12 @@
     id: StreamId,
     prompt: u64,
     length: u32,
-    made: u32,
+    generated: u32,
     chunks: u32,
     ready_at: Moment,
 }
 
-/// One engine.
+/// A simulated engine.
 #[derive(Debug, Clone)]
 pub struct EngineModel {
     settings: EngineSettings,
@@ -103,29 +102,30 @@
     waiting: VecDeque<Stream>,
     cache: VecDeque<u64>,
     next_stream: u64,
-    quantum_ends: Option<Moment>,
+    quantum_ends_at: Option<Moment>,
 }
 
-/// Length of an answer, in tokens: a heavy tail around a scale that siblings share.
-pub fn answer_length(prompt: u64, seed: u64, shortest: u32, longest: u32) -> u32 {
+/// Returns the length of a response, in tokens. The distribution has a heavy tail; samples of the
+/// same prompt share a random factor.
+pub fn response_length(prompt: u64, seed: u64, min_tokens: u32, max_tokens: u32) -> u32 {
     let group = pareto(&mut ChaCha8Rng::seed_from_u64(prompt));
-    let own = pareto(&mut ChaCha8Rng::seed_from_u64(prompt ^ seed.rotate_left(32)));
-    let length = f64::from(shortest) * group.sqrt() * own;
+    let individual = pareto(&mut ChaCha8Rng::seed_from_u64(prompt ^ seed.rotate_left(32)));
+    let length = f64::from(min_tokens) * group.sqrt() * individual;
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
         reason = "clamped to the range of a u32 first"
     )]
-    let length = length.clamp(1.0, f64::from(longest)) as u32;
+    let length = length.clamp(1.0, f64::from(max_tokens)) as u32;
     length
 }
 
 fn pareto(rng: &mut ChaCha8Rng) -> f64 {
-    (1.0 - rng.random::<f64>()).powf(-1.0 / TAIL)
+    (1.0 - rng.random::<f64>()).powf(-1.0 / TAIL_INDEX)
 }
 
 impl EngineModel {
-    /// An engine that holds `version`.
+    /// Creates an engine with `version` loaded.
     pub const fn new(
         settings: EngineSettings,
         incarnation: Incarnation,
@@ -141,62 +141,69 @@
             waiting: VecDeque::new(),
             cache: VecDeque::new(),
             next_stream: 0,
-            quantum_ends: None,
+            quantum_ends_at: None,
         }
     }
 
-    /// Which life of the engine this is.
+    /// Returns the incarnation of the engine.
     pub const fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// The version it holds at `now`.
+    /// Returns the version loaded at `now`.
     pub fn version(&mut self, now: Moment) -> ModelVersion {
-        self.settle(now);
+        self.complete_load(now);
         self.version
     }
 
-    /// Whether it is loading another version at `now`.
+    /// Whether the engine is loading a version at `now`.
     pub fn is_loading(&mut self, now: Moment) -> bool {
-        self.settle(now);
+        self.complete_load(now);
         self.loading.is_some()
     }
 
-    /// Highest fencing token obeyed.
+    /// Returns the highest fencing token accepted.
     pub const fn token(&self) -> FencingToken {
         self.token
     }
 
-    /// Streams in the batch.
+    /// Returns the number of streams in the batch.
     pub const fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Streams waiting for a place in the batch.
+    /// Returns the number of streams waiting to enter the batch.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Takes a request; its chunks come out of [`Self::step`].
-    pub fn start(&mut self, now: Moment, prompt: u64, seed: u64, longest: u32) -> StreamId {
+    /// Adds a request; [`Self::step`] returns its chunks.
+    pub fn start(&mut self, now: Moment, prompt: u64, seed: u64, max_tokens: u32) -> StreamId {
         let id = StreamId(self.next_stream);
         self.next_stream += 1;
-        let length = answer_length(prompt, seed, self.settings.shortest, longest);
-        self.waiting.push_back(Stream { id, prompt, length, made: 0, chunks: 0, ready_at: now });
-        self.fill(now);
+        let length = response_length(prompt, seed, self.settings.min_tokens, max_tokens);
+        self.waiting.push_back(Stream {
+            id,
+            prompt,
+            length,
+            generated: 0,
+            chunks: 0,
+            ready_at: now,
+        });
+        self.fill_batch(now);
         id
     }
 
-    /// Drops a stream.
+    /// Cancels a stream.
     pub fn cancel(&mut self, now: Moment, id: StreamId) {
         self.running.retain(|stream| stream.id != id);
         self.waiting.retain(|stream| stream.id != id);
-        self.fill(now);
+        self.fill_batch(now);
     }
 
-    /// Begins to load a version.
+    /// Starts to load a version, unless the fencing token is too old.
     pub fn order(&mut self, now: Moment, version: ModelVersion, token: FencingToken) -> OrderStart {
-        self.settle(now);
+        self.complete_load(now);
         if self.settings.checks_fencing && token < self.token {
             return OrderStart::OldToken(self.token);
         }
@@ -204,45 +211,45 @@
         if version == self.version && self.loading.is_none() {
             return OrderStart::LoadedAt(now);
         }
-        let at = now + self.settings.load_time;
-        self.loading = Some((version, at));
-        OrderStart::LoadedAt(at)
+        let loaded_at = now + self.settings.load_time;
+        self.loading = Some((version, loaded_at));
+        OrderStart::LoadedAt(loaded_at)
     }
 
-    /// When [`Self::step`] next has something to do.
+    /// Returns when the current quantum ends: the time of the next [`Self::step`].
     pub const fn next_at(&self) -> Option<Moment> {
-        self.quantum_ends
+        self.quantum_ends_at
     }
 
-    /// Ends the quantum that is due at `now` and gives what it made.
+    /// Ends the quantum if it is due at `now` and returns its chunks.
     pub fn step(&mut self, now: Moment) -> Vec<StreamStep> {
-        let Some(ends) = self.quantum_ends else {
+        let Some(ends_at) = self.quantum_ends_at else {
             return Vec::new();
         };
-        if now < ends {
+        if now < ends_at {
             return Vec::new();
         }
-        self.settle(ends);
+        self.complete_load(ends_at);
         let version = self.version;
         let mut steps = Vec::with_capacity(self.running.len());
         for stream in &mut self.running {
-            if stream.ready_at > ends {
+            if stream.ready_at > ends_at {
                 continue;
             }
-            let tokens = CHUNK_TOKENS.min(stream.length - stream.made);
-            stream.made += tokens;
-            let last = stream.made >= stream.length;
+            let tokens = CHUNK_TOKENS.min(stream.length - stream.generated);
+            stream.generated += tokens;
+            let last = stream.generated >= stream.length;
             let index = stream.chunks;
             stream.chunks += 1;
             steps.push(StreamStep { stream: stream.id, index, tokens, version, last });
         }
-        self.running.retain(|stream| stream.made < stream.length);
-        self.quantum_ends = None;
-        self.fill(ends);
+        self.running.retain(|stream| stream.generated < stream.length);
+        self.quantum_ends_at = None;
+        self.fill_batch(ends_at);
         steps
     }
 
-    fn settle(&mut self, now: Moment) {
+    fn complete_load(&mut self, now: Moment) {
         if let Some((version, at)) = self.loading
             && now >= at
         {
@@ -251,21 +258,21 @@
         }
     }
 
-    fn fill(&mut self, now: Moment) {
-        while self.running.len() < self.settings.most_running {
+    fn fill_batch(&mut self, now: Moment) {
+        while self.running.len() < self.settings.max_running {
             let Some(mut stream) = self.waiting.pop_front() else {
                 break;
             };
-            let cached = self.touch_cache(stream.prompt);
-            stream.ready_at = if cached { now } else { now + self.settings.prefill };
+            let is_cached = self.touch_cache(stream.prompt);
+            stream.ready_at = if is_cached { now } else { now + self.settings.prefill };
             self.running.push(stream);
         }
-        if self.quantum_ends.is_none() && !self.running.is_empty() {
-            self.quantum_ends = Some(now + self.quantum());
+        if self.quantum_ends_at.is_none() && !self.running.is_empty() {
+            self.quantum_ends_at = Some(now + self.quantum_duration());
         }
     }
 
-    fn quantum(&self) -> Duration {
+    fn quantum_duration(&self) -> Duration {
         let extra = u32::try_from(self.running.len().saturating_sub(1)).unwrap_or(u32::MAX);
         (self.settings.step + self.settings.step_per_stream * extra) * CHUNK_TOKENS
     }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for the outside systems, with switches for faults.
+//! Stand-ins for external systems, with fault switches, for tests and the demo.
 //!
-//! Used by tests and by the demo alike. [`engine_model`] is the behaviour of an engine without
-//! I/O, so the experiments drive the same engine that the demo's processes serve over HTTP.
+//! [`engine_model`] simulates an engine without I/O, so that experiments use the same engine that
+//! the processes of the demo serve over HTTP.
 
 pub mod engine;
 pub mod engine_model;
--- a/crates/standins/src/main.rs
+++ b/crates/standins/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in as a process of its own.
+//! Runs one stand-in as a separate process.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,10 +17,10 @@
 #[global_allocator]
 static ALLOCATOR: MiMalloc = MiMalloc;
 
-/// A stand-in for one outside system; prints `listening ADDRESS` once it serves.
+/// Stand-in for one external system. Prints `listening ADDRESS` when ready.
 #[derive(Debug, Parser)]
 struct Cli {
-    /// Address to listen on; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     #[arg(long, default_value = "127.0.0.1:0", global = true)]
     listen: SocketAddr,
     #[command(subcommand)]
@@ -33,23 +33,23 @@
     Platform,
     /// A model engine.
     Engine {
-        /// Version held at the start.
+        /// Model version loaded at the start.
         #[arg(long, default_value = "1")]
         version: ModelVersion,
-        /// Which life of the engine this is.
+        /// Incarnation of the engine.
         #[arg(long, default_value = "1")]
         incarnation: Incarnation,
         /// Ignores fencing tokens, as some deployments' engines do.
         #[arg(long)]
         ignore_fencing: bool,
-        /// Time from an order to the new version, in milliseconds.
+        /// Time to load a version, in milliseconds.
         #[arg(long, default_value_t = 300)]
         load_ms: u64,
-        /// One decode step of a batch of one, in microseconds.
+        /// Duration of a decode step with one stream, in microseconds.
         #[arg(long, default_value_t = 1_000)]
         step_us: u64,
     },
-    /// A plain service, which also answers as a scorer.
+    /// A plain service, which is also a scorer.
     Plain,
 }
 
--- a/crates/standins/src/plain.rs
+++ b/crates/standins/src/plain.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts executions, and a scorer.
+//! A plain service that counts how often each request runs, and a scorer.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -16,24 +16,24 @@
 use targets::{DIGEST_HEADER, NOT_RUN_HEADER, REQUEST_ID_HEADER, ScoreRequest, ScoreResponse};
 use tokio::time;
 
-/// Switches for faults; all off by default.
+/// Fault switches; all off by default.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlainFaults {
-    /// Every call takes this much longer, in milliseconds.
+    /// Delay added to every call, in milliseconds.
     pub slow_ms: u64,
-    /// This many calls are refused before running.
+    /// Number of calls to refuse before they run.
     pub refuse: u32,
-    /// This many calls run and answer with a digest that is not theirs.
+    /// Number of calls to run and answer with a wrong digest.
     pub corrupt: u32,
-    /// This many calls run and lose their answer.
+    /// Number of calls to run without sending the response.
     pub lose_answers: u32,
 }
 
-/// How often each request ran, by request id.
+/// Execution counts of a plain service.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct RunCounts {
-    /// Runs by request id.
+    /// Number of runs by request id.
     pub runs: BTreeMap<String, u64>,
 }
 
@@ -43,7 +43,7 @@
     faults: PlainFaults,
 }
 
-/// A plain service's memory.
+/// State of a plain service; clones share it.
 #[derive(Debug, Clone, Default)]
 pub struct PlainState(Arc<Mutex<Inner>>);
 
@@ -53,7 +53,7 @@
         self.lock().faults = faults;
     }
 
-    /// How often each request ran.
+    /// Returns the execution counts.
     pub fn counts(&self) -> RunCounts {
         self.lock().counts.clone()
     }
@@ -63,14 +63,14 @@
     }
 }
 
-/// Takes one use of a counted switch.
-fn take(count: &mut u32) -> bool {
+/// Uses up one count of a fault switch; returns whether any was left.
+fn consume_fault(count: &mut u32) -> bool {
     let on = *count > 0;
     *count = count.saturating_sub(1);
     on
 }
 
-/// A service that answers any path with what it was sent.
+/// Returns the routes of a service that echoes the URI and body of any other path.
 pub fn router(state: PlainState) -> Router {
     Router::new()
         .route("/v1/score", post(score))
@@ -86,29 +86,29 @@
     uri: Uri,
     body: Bytes,
 ) -> Response {
-    if take(&mut state.lock().faults.refuse) {
+    if consume_fault(&mut state.lock().faults.refuse) {
         let refused = (StatusCode::SERVICE_UNAVAILABLE, [(NOT_RUN_HEADER, "busy")], "busy");
         return refused.into_response();
     }
     let id = headers.get(REQUEST_ID_HEADER).and_then(|id| id.to_str().ok()).unwrap_or("none");
-    // Counted where the work begins: a caller that goes away does not undo it.
+    // Counts the run at its start, so that a caller that disconnects does not change the count.
     *state.lock().counts.runs.entry(id.to_owned()).or_default() += 1;
     let slow_ms = state.lock().faults.slow_ms;
     if slow_ms > 0 {
         time::sleep(Duration::from_millis(slow_ms)).await;
     }
-    if take(&mut state.lock().faults.lose_answers) {
+    if consume_fault(&mut state.lock().faults.lose_answers) {
         return StatusCode::GATEWAY_TIMEOUT.into_response();
     }
-    let answer = format!("{uri} {}", String::from_utf8_lossy(&body));
-    let corrupt = take(&mut state.lock().faults.corrupt);
-    let digest = ContentDigest::of(if corrupt { b"other" } else { answer.as_bytes() });
-    ([(DIGEST_HEADER, digest.to_string())], answer).into_response()
+    let response = format!("{uri} {}", String::from_utf8_lossy(&body));
+    let corrupt = consume_fault(&mut state.lock().faults.corrupt);
+    let digest = ContentDigest::of(if corrupt { b"other" } else { response.as_bytes() });
+    ([(DIGEST_HEADER, digest.to_string())], response).into_response()
 }
 
-/// Judges a sample by its digest: arbitrary, and the same for the same text.
+/// Derives a score from the digest of the text: arbitrary but deterministic.
 async fn score(Json(request): Json<ScoreRequest>) -> Json<ScoreResponse> {
-    /// Scores are hundredths from 0 to 1.
+    /// Number of different scores: hundredths from 0 to 1.
     const STEPS: u32 = 101;
     let digest = ContentDigest::of(request.text.as_bytes()).get();
     let hundredths = u32::try_from(digest % u64::from(STEPS)).unwrap_or_default();
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's object API: versions, conditional updates, watches, lists that lag.
+//! The platform's object API: versioned objects, conditional writes, lists and watches.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -17,29 +17,29 @@
 use tokio::sync::watch;
 use tokio::time;
 
-/// Largest value, in bytes of JSON.
-const MAX_VALUE: usize = 1 << 20;
+/// Maximum size of a value, in bytes of JSON.
+const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// Switches for faults; all off by default.
+/// Fault switches; all off by default.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformFaults {
-    /// Every call is refused.
+    /// Refuses every call.
     pub down: bool,
-    /// Every call takes this much longer, in milliseconds.
+    /// Delay added to every call, in milliseconds.
     pub slow_ms: u64,
-    /// This many writes take effect and lose their answer.
+    /// Number of writes to apply without sending the response.
     pub lose_answers: u32,
 }
 
-/// Calls seen so far.
+/// Number of calls received.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 pub struct PlatformCounts {
     /// Reads and lists.
     pub reads: u64,
-    /// Conditional writes, taken or not.
+    /// Conditional writes, applied or not.
     pub writes: u64,
-    /// Watches, each counted once.
+    /// Watch requests.
     pub watches: u64,
 }
 
@@ -52,12 +52,12 @@
 #[derive(Debug, Default)]
 struct Tables {
     kinds: BTreeMap<String, KindTable>,
-    versions: u64,
+    last_version: u64,
     faults: PlatformFaults,
     counts: PlatformCounts,
 }
 
-/// The store behind the API.
+/// The object store behind the API; clones share it.
 #[derive(Debug, Clone)]
 pub struct PlatformStore {
     tables: Arc<Mutex<Tables>>,
@@ -82,21 +82,21 @@
     wait_ms: u64,
 }
 
-/// How a conditional write ended.
+/// Outcome of a conditional write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PutOutcome {
-    /// Written under this version.
+    /// The object was written with this version.
     Written(ObjectVersion),
-    /// The object's version was another.
+    /// The object has a different version than expected.
     Conflict,
 }
 
 impl PlatformStore {
-    /// Writes an object if its version is still `expect`; zero means absent.
+    /// Writes an object if its current version is `expect`; 0 means that it does not exist.
     pub fn put(&self, kind: &str, name: &str, expect: u64, value: Value) -> PutOutcome {
         let mut tables = self.lock();
-        tables.versions += 1;
-        let version = ObjectVersion::new(tables.versions);
+        tables.last_version += 1;
+        let version = ObjectVersion::new(tables.last_version);
         let table = tables.kinds.entry(kind.to_owned()).or_default();
         let current = table.objects.get(name).map_or(0, |(version, _)| version.get());
         if current != expect {
@@ -116,7 +116,7 @@
         Some(StoredObject { name: name.to_owned(), version: *version, value: value.clone() })
     }
 
-    /// Lists a kind.
+    /// Lists all objects of a kind.
     pub fn list(&self, kind: &str) -> ListedObjects {
         let tables = self.lock();
         let Some(table) = tables.kinds.get(kind) else {
@@ -135,7 +135,7 @@
         self.lock().faults = faults;
     }
 
-    /// Calls seen so far.
+    /// Returns the number of calls received.
     pub fn counts(&self) -> PlatformCounts {
         self.lock().counts
     }
@@ -153,12 +153,12 @@
                 }
             }
         };
-        // A watch that runs out answers with the list as it is.
+        // A watch that times out returns the unchanged list.
         let _elapsed = time::timeout(wait, newer).await;
     }
 
-    /// Applies the fault switches; an error is the refusal to answer with.
-    async fn admit(&self) -> Result<(), Box<Response>> {
+    /// Applies the fault switches. An error contains the response that refuses the call.
+    async fn apply_faults(&self) -> Result<(), Box<Response>> {
         let faults = self.lock().faults;
         if faults.slow_ms > 0 {
             time::sleep(Duration::from_millis(faults.slow_ms)).await;
@@ -169,7 +169,7 @@
         Ok(())
     }
 
-    fn loses_answer(&self) -> bool {
+    fn loses_response(&self) -> bool {
         let mut tables = self.lock();
         let lost = tables.faults.lose_answers > 0;
         tables.faults.lose_answers = tables.faults.lose_answers.saturating_sub(1);
@@ -177,7 +177,7 @@
     }
 }
 
-/// The API's routes.
+/// Returns the HTTP routes of the API.
 pub fn router(store: PlatformStore) -> Router {
     Router::new()
         .route("/v1/objects/{kind}", get(list_kind))
@@ -192,7 +192,7 @@
     Path(kind): Path<String>,
     Query(query): Query<ListQuery>,
 ) -> Response {
-    if let Err(refusal) = store.admit().await {
+    if let Err(refusal) = store.apply_faults().await {
         return *refusal;
     }
     if let Some(after) = query.after {
@@ -211,7 +211,7 @@
     State(store): State<PlatformStore>,
     Path((kind, name)): Path<(String, String)>,
 ) -> Response {
-    if let Err(refusal) = store.admit().await {
+    if let Err(refusal) = store.apply_faults().await {
         return *refusal;
     }
     store.lock().counts.reads += 1;
@@ -227,16 +227,16 @@
     Query(query): Query<WriteQuery>,
     Json(value): Json<Value>,
 ) -> Response {
-    if let Err(refusal) = store.admit().await {
+    if let Err(refusal) = store.apply_faults().await {
         return *refusal;
     }
     store.lock().counts.writes += 1;
-    if value.to_string().len() > MAX_VALUE {
+    if value.to_string().len() > MAX_VALUE_BYTES {
         return StatusCode::PAYLOAD_TOO_LARGE.into_response();
     }
     match store.put(&kind, &name, query.if_version, value) {
         PutOutcome::Conflict => StatusCode::CONFLICT.into_response(),
-        PutOutcome::Written(_) if store.loses_answer() => {
+        PutOutcome::Written(_) if store.loses_response() => {
             StatusCode::GATEWAY_TIMEOUT.into_response()
         }
         PutOutcome::Written(version) => {
--- a/crates/standins/src/proxy.rs
+++ b/crates/standins/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that harms connections: delays them, holds one way or both, resets them.
+//! A loopback TCP proxy that injects network faults: delays, stalls per direction and resets.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -10,49 +10,52 @@
 use tokio::sync::watch;
 use tokio::time;
 
-/// Bytes that are passed on at a time.
-const PIECE: usize = 16 << 10;
+/// Size of the copy buffer, in bytes.
+const BUFFER_BYTES: usize = 16 << 10;
 
-/// How bytes pass in one direction.
+/// How the proxy forwards bytes in one direction.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Passage {
-    /// At once.
+    /// Forwards at once.
     #[default]
     Open,
-    /// Each piece after this long.
+    /// Delays each read by this time.
     Delayed(Duration),
-    /// Not at all until it opens again; nothing is lost meanwhile, as on a link that comes back.
+    /// Forwards nothing until the passage changes. No bytes are lost, as on a link that recovers.
     Held,
 }
 
-/// What the proxy does to connections.
+/// Faults that the proxy injects into connections.
+///
+/// A connection is reset or silenced when a counter becomes larger than it was when the connection
+/// was opened.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LinkFaults {
-    /// From whoever connects to the target.
-    pub there: Passage,
-    /// From the target back.
-    pub back: Passage,
-    /// New connections are closed at once.
+    /// Passage from the client to the target.
+    pub to_target: Passage,
+    /// Passage from the target to the client.
+    pub from_target: Passage,
+    /// Whether new connections are closed at once.
     pub refuse: bool,
-    /// Connections that began under a lower number are reset.
+    /// Number of resets so far.
     pub resets: u64,
-    /// Connections that began under a lower number pass nothing more to the target, for good.
-    pub silences_there: u64,
-    /// Connections that began under a lower number pass nothing more back, for good.
-    pub silences_back: u64,
+    /// Number of times that connections to the target were silenced permanently.
+    pub silences_to_target: u64,
+    /// Number of times that connections from the target were silenced permanently.
+    pub silences_from_target: u64,
 }
 
-/// A proxy in front of one target; without a target it closes connections.
+/// A proxy in front of one target. Without a target it closes connections at once.
 #[derive(Debug, Clone)]
 pub struct FaultProxy {
-    /// Where it listens.
+    /// Address that the proxy listens on.
     pub address: SocketAddr,
     target: Arc<Mutex<Option<SocketAddr>>>,
     faults: watch::Sender<LinkFaults>,
 }
 
 impl FaultProxy {
-    /// Starts a proxy on a free port of loopback, without a target; it serves until the runtime ends.
+    /// Starts a proxy without a target on a free loopback port. It runs until the runtime ends.
     pub async fn start() -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let proxy = Self {
@@ -64,12 +67,12 @@
         Ok(proxy)
     }
 
-    /// Passes new connections to another target.
-    pub fn aim(&self, target: SocketAddr) {
+    /// Sets the target of new connections.
+    pub fn set_target(&self, target: SocketAddr) {
         *self.target.lock().unwrap_or_else(PoisonError::into_inner) = Some(target);
     }
 
-    /// Changes what is done to connections, also to those that are open.
+    /// Changes the faults, also for open connections.
     pub fn change(&self, change: impl FnOnce(&mut LinkFaults)) {
         self.faults.send_modify(change);
     }
@@ -79,15 +82,15 @@
         self.change(|faults| faults.resets += 1);
     }
 
-    /// Lets all open connections fall silent for good, without a reset; new ones work.
+    /// Makes all open connections unresponsive permanently, without a reset. New connections work.
     pub fn silence(&self) {
         self.change(|faults| {
-            faults.silences_there += 1;
-            faults.silences_back += 1;
+            faults.silences_to_target += 1;
+            faults.silences_from_target += 1;
         });
     }
 
-    /// Cuts the target off: resets connections and takes no new ones.
+    /// Resets all connections and refuses new ones.
     pub fn cut(&self) {
         self.change(|faults| {
             faults.resets += 1;
@@ -95,75 +98,75 @@
         });
     }
 
-    /// Does no harm any more. Connections that were reset or fell silent stay so.
+    /// Ends all faults. Connections that were reset or silenced stay so.
     pub fn heal(&self) {
         self.change(|faults| {
-            faults.there = Passage::Open;
-            faults.back = Passage::Open;
+            faults.to_target = Passage::Open;
+            faults.from_target = Passage::Open;
             faults.refuse = false;
         });
     }
 
     async fn accept(self, listener: TcpListener) {
         loop {
-            let Ok((caller, _)) = listener.accept().await else { continue };
+            let Ok((client, _)) = listener.accept().await else { continue };
             let target = *self.target.lock().unwrap_or_else(PoisonError::into_inner);
             let Some(target) = target.filter(|_| !self.faults.borrow().refuse) else { continue };
-            tokio::spawn(pass(caller, target, self.faults.subscribe()));
+            tokio::spawn(forward(client, target, self.faults.subscribe()));
         }
     }
 }
 
-async fn pass(caller: TcpStream, target: SocketAddr, faults: watch::Receiver<LinkFaults>) {
-    let born = *faults.borrow();
+async fn forward(client: TcpStream, target: SocketAddr, faults: watch::Receiver<LinkFaults>) {
+    let initial = *faults.borrow();
     let Ok(target) = TcpStream::connect(target).await else { return };
-    // Only the pace of small pieces depends on these.
-    let _slower = (caller.set_nodelay(true), target.set_nodelay(true));
-    let (caller_in, caller_out) = caller.into_split();
+    // Without TCP_NODELAY, small writes are only slower.
+    let _ignored = (client.set_nodelay(true), target.set_nodelay(true));
+    let (client_in, client_out) = client.into_split();
     let (target_in, target_out) = target.into_split();
     let mut resets = faults.clone();
-    let there = copy(caller_in, target_out, faults.clone(), |faults| {
-        (faults.there, faults.silences_there > born.silences_there)
+    let to_target = copy(client_in, target_out, faults.clone(), |faults| {
+        (faults.to_target, faults.silences_to_target > initial.silences_to_target)
     });
-    let back = copy(target_in, caller_out, faults, |faults| {
-        (faults.back, faults.silences_back > born.silences_back)
+    let from_target = copy(target_in, client_out, faults, |faults| {
+        (faults.from_target, faults.silences_from_target > initial.silences_from_target)
     });
     tokio::select! {
-        _ended = futures::future::join(there, back) => {}
-        _reset = resets.wait_for(|faults| faults.resets > born.resets) => {}
+        _ended = futures::future::join(to_target, from_target) => {}
+        _reset = resets.wait_for(|faults| faults.resets > initial.resets) => {}
     }
-    // What is dropped with bytes that nobody has read is reset.
+    // Dropping a socket with unread bytes resets the connection.
 }
 
 async fn copy(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mut faults: watch::Receiver<LinkFaults>,
-    way: impl Fn(&LinkFaults) -> (Passage, bool),
+    direction: impl Fn(&LinkFaults) -> (Passage, bool),
 ) {
-    let mut piece = vec![0; PIECE];
+    let mut buffer = vec![0; BUFFER_BYTES];
     loop {
-        let Ok(len) = from.read(&mut piece).await else { return };
-        let (passage, silent) = match faults.wait_for(|faults| way(faults).0 != Passage::Held).await
-        {
-            Ok(state) => way(&state),
-            Err(_ended) => return,
-        };
-        if silent && len == 0 {
+        let Ok(len) = from.read(&mut buffer).await else { return };
+        let (passage, is_silenced) =
+            match faults.wait_for(|faults| direction(faults).0 != Passage::Held).await {
+                Ok(state) => direction(&state),
+                Err(_ended) => return,
+            };
+        if is_silenced && len == 0 {
             return;
         }
-        if silent {
+        if is_silenced {
             continue;
         }
         if let Passage::Delayed(time) = passage {
             time::sleep(time).await;
         }
         if len == 0 {
-            // The other side hears of the end as it would without a proxy.
+            // Forwards the end of the stream, as a direct connection would.
             let _closed = to.shutdown().await;
             return;
         }
-        if to.write_all(&piece[..len]).await.is_err() {
+        if to.write_all(&buffer[..len]).await.is_err() {
             return;
         }
     }
--- a/crates/standins/src/serve.rs
+++ b/crates/standins/src/serve.rs
@@ -1,4 +1,4 @@
-//! Serves a stand-in on loopback until it is stopped.
+//! Serves a stand-in over HTTP until the process ends.
 
 use std::io::{self, Write};
 use std::net::SocketAddr;
@@ -6,17 +6,17 @@
 use axum::Router;
 use tokio::net::TcpListener;
 
-/// First word of the line that tells where a stand-in or a daemon listens.
+/// First word of the line in which a stand-in or a daemon prints its addresses.
 pub const LISTENING: &str = "listening";
 
-/// Binds, prints `listening ADDRESS` on standard output, and serves until the process ends.
+/// Binds to `listen`, prints `listening ADDRESS` on standard output, and serves `router`.
 pub async fn serve(listen: SocketAddr, router: Router) -> io::Result<()> {
     let listener = TcpListener::bind(listen).await?;
-    announce(listener.local_addr()?)?;
+    print_address(listener.local_addr()?)?;
     axum::serve(listener, router).await
 }
 
-fn announce(address: SocketAddr) -> io::Result<()> {
+fn print_address(address: SocketAddr) -> io::Result<()> {
     let mut out = io::stdout().lock();
     writeln!(out, "{LISTENING} {address}")?;
     out.flush()
--- a/crates/upstream/tests/unresponsive_connections.rs
+++ b/crates/upstream/tests/unresponsive_connections.rs
@@ -36,7 +36,7 @@
         }
     });
     let proxy = FaultProxy::start().await.expect("a free port");
-    proxy.aim(address);
+    proxy.set_target(address);
     proxy
 }
 
