--- a/crates/demo/src/fleet.rs
+++ b/crates/demo/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A deployment: the platform, engines, services and boxes of a few failure domains.
+//! A deployment: the platform stand-in, engines, services and boxes of a few failure domains.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -19,29 +19,29 @@
 
 use crate::process::{ChildProcess, Signal};
 
-/// The deployment key of the demo; at least 16 bytes.
-const KEY: &str = "demo-deployment-key-0123456789";
-/// Time between looks at whether something is so.
-const LOOK: Duration = Duration::from_millis(20);
-/// Most looks before something counts as never coming.
-const MOST_LOOKS: u32 = 1_500;
+/// Deployment key of the demo; at least 16 bytes.
+const DEPLOYMENT_KEY: &str = "demo-deployment-key-0123456789";
+/// Time between two checks of a condition.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum number of checks before a wait fails.
+const MAX_CHECKS: u32 = 1_500;
 
-/// What to start.
+/// Size and settings of a deployment.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetPlan {
-    /// Failure domains.
+    /// Number of failure domains.
     pub domains: usize,
-    /// Boxes in each.
+    /// Boxes per failure domain.
     pub boxes_per_domain: usize,
-    /// Engines in each.
+    /// Engines per failure domain.
     pub engines_per_domain: usize,
-    /// One decode step of an engine with one stream.
+    /// Duration of a decode step of an engine with one stream.
     pub decode_step: Duration,
-    /// Time an engine takes to load a version.
+    /// Time that an engine takes to load a version.
     pub load_time: Duration,
-    /// Term of leases.
+    /// Lease term.
     pub lease_term: Duration,
-    /// Puts a relay that can be cut before each box's peer address.
+    /// Whether to put a fault proxy in front of the peer address of each box.
     pub relays: bool,
 }
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// A running deployment; its processes are killed when it is dropped.
+/// A running deployment. Its processes are killed on drop.
 #[derive(Debug)]
 pub struct Fleet {
     plan: FleetPlan,
@@ -67,7 +67,7 @@
     http: Client,
     /// The platform stand-in.
     pub platform: ChildProcess,
-    /// Relays by the id of the box behind each.
+    /// Fault proxies by the id of the box behind each.
     pub relays: BTreeMap<String, FaultProxy>,
     /// Boxes by id.
     pub boxes: BTreeMap<String, ChildProcess>,
@@ -81,30 +81,31 @@
     args.iter().map(|word| (*word).to_owned()).collect()
 }
 
-fn domain_of(index: usize) -> String {
+fn domain_name(index: usize) -> String {
     format!("hall-{}", index + 1)
 }
 
-/// Place of the advertised peer address in the line `listening CALLERS peers PEERS bound BOUND`,
-/// counted behind its first word.
+/// Index of the advertised peer address in [`ChildProcess::addresses`] of a box, which prints
+/// `listening CALLERS peers PEERS bound BOUND`.
 const PEERS_WORD: usize = 2;
-/// Place of the address that the box itself listens on for peers.
+/// Index of the address that the box listens on for peers.
 const BOUND_WORD: usize = 4;
 
-/// Where a box's peers reach it.
+/// Returns the advertised peer address of a box.
 fn peer_address(child: &ChildProcess) -> String {
     child.addresses.get(PEERS_WORD).cloned().unwrap_or_default()
 }
 
 impl Fleet {
-    /// Starts all processes and waits until every box is ready. Logs go to files in `dir`.
+    /// Starts all processes and waits until every box is ready. Writes logs to `dir`, which is
+    /// cleared first.
     pub async fn start(plan: FleetPlan, dir: PathBuf) -> io::Result<Self> {
-        // Logs of an earlier run would only confuse.
+        // Removes the logs of an earlier run.
         if dir.exists() {
             fs::remove_dir_all(&dir)?;
         }
         fs::create_dir_all(&dir)?;
-        fs::write(dir.join("key"), KEY)?;
+        fs::write(dir.join("key"), DEPLOYMENT_KEY)?;
         let log = Stdio::from(File::create(dir.join("platform.log"))?);
         let platform = ChildProcess::start("standins", &words(&["platform"]), log).await?;
         let mut fleet = Self {
@@ -133,7 +134,7 @@
                 self.start_engine(domain, index, ModelVersion::new(1), 1).await?;
             }
         }
-        // One scorer for each domain, and the plain service in the first two.
+        // One scorer per domain, and the plain service in the first two domains.
         for domain in 0..self.plan.domains {
             self.start_service(&format!("scorer-{}", domain + 1), domain, "scorer", "scorer")
                 .await?;
@@ -145,7 +146,8 @@
         Ok(())
     }
 
-    /// Starts an engine and lists it; a larger `incarnation` is a later life.
+    /// Starts an engine, registers it with the platform and returns its id. A restarted engine
+    /// needs a larger `incarnation`.
     pub async fn start_engine(
         &mut self,
         domain: usize,
@@ -167,10 +169,10 @@
         ]);
         let child = ChildProcess::start("standins", &args, self.log(&id)?).await?;
         let record = json!({
-            "id": id, "domain": domain_of(domain), "kind": "engine",
+            "id": id, "domain": domain_name(domain), "kind": "engine",
             "address": format!("http://{}", child.address()), "checks_fencing": true,
         });
-        self.list("target", &id, record).await?;
+        self.register("target", &id, record).await?;
         self.engines.insert(id.clone(), child);
         Ok(id)
     }
@@ -184,21 +186,21 @@
     ) -> io::Result<()> {
         let child = ChildProcess::start("standins", &words(&["plain"]), self.log(id)?).await?;
         let record = json!({
-            "id": id, "domain": domain_of(domain), "kind": kind, "service": service,
+            "id": id, "domain": domain_name(domain), "kind": kind, "service": service,
             "address": format!("http://{}", child.address()),
         });
-        self.list("target", id, record).await?;
+        self.register("target", id, record).await?;
         self.services.insert(id.to_owned(), child);
         Ok(())
     }
 
-    /// Starts a box and lists it.
+    /// Starts a box, registers it with the platform and returns its id.
     pub async fn start_box(&mut self, domain: usize, index: usize) -> io::Result<String> {
         let id = format!("box-{}-{}", domain + 1, index + 1);
         let key_file = self.key_file().display().to_string();
         let platform = format!("http://{}", self.platform.address());
         let term = self.plan.lease_term.as_millis().to_string();
-        let domain = domain_of(domain);
+        let domain = domain_name(domain);
         let mut args = words(&["--box-id", &id, "--domain", &domain]);
         args.extend(words(&["--caller-listen", "127.0.0.1:0", "--peer-listen", "127.0.0.1:0"]));
         args.extend(words(&["--platform", &platform, "--key-file", &key_file]));
@@ -217,9 +219,9 @@
             self.relays.insert(id.clone(), relay);
         }
         let record = json!({ "id": id, "domain": domain, "address": peer_address(&child) });
-        // With the platform away the box is not listed; its peers make it known.
-        if let Err(error) = self.list("box", &id, record).await {
-            eprintln!("{id} is not listed: {error}");
+        // If the platform is unavailable, the other boxes learn of this one from its peers.
+        if let Err(error) = self.register("box", &id, record).await {
+            eprintln!("cannot register {id}: {error}");
         }
         self.boxes.insert(id.clone(), child);
         Ok(id)
@@ -234,8 +236,8 @@
         Ok(Stdio::from(File::options().create(true).append(true).open(path)?))
     }
 
-    /// Writes an entry of the platform's own lists.
-    pub async fn list(&self, kind: &str, name: &str, value: Value) -> io::Result<()> {
+    /// Writes an object of the platform's registry of boxes and targets.
+    pub async fn register(&self, kind: &str, name: &str, value: Value) -> io::Result<()> {
         let url = format!("http://{}/v1/objects/{kind}/{name}", self.platform.address());
         let current = self.http.get(&url).send().await.map_err(io::Error::other)?;
         let version = match current.json::<Value>().await {
@@ -247,67 +249,70 @@
         Ok(())
     }
 
-    /// Sets a stand-in's fault switches.
-    pub async fn faults(&self, address: &str, faults: &impl Serialize) -> io::Result<()> {
+    /// Sets the fault switches of a stand-in.
+    pub async fn set_faults(&self, address: &str, faults: &impl Serialize) -> io::Result<()> {
         let url = format!("http://{address}/faults");
-        // A stand-in told to crash does not answer.
+        // A stand-in that crashes on request does not respond.
         let _crashed = self.http.post(url).json(faults).send().await;
         Ok(())
     }
 
-    /// Reads JSON from a stand-in or a box, with the deployment's key.
+    /// Reads JSON from a stand-in or a box, authenticated with the deployment key.
     pub async fn read(&self, address: &str, path: &str) -> io::Result<Value> {
-        let request = self.http.get(format!("http://{address}{path}")).bearer_auth(KEY);
+        let request = self.http.get(format!("http://{address}{path}")).bearer_auth(DEPLOYMENT_KEY);
         let response = request.send().await.map_err(io::Error::other)?;
         response.json().await.map_err(io::Error::other)
     }
 
-    /// Waits until every box says that it is ready and sees all boxes.
+    /// Waits until every box is ready and reports all boxes as live peers.
     pub async fn wait_until_ready(&self) -> io::Result<()> {
         let all = self.boxes.len();
         for (id, child) in &self.boxes {
-            self.wait_for(&format!("{id} ready"), async || {
+            self.wait_until(&format!("{id} ready"), async || {
                 let ready = self.read(child.address(), "/readyz").await;
                 let status = self.read(child.address(), "/v1/status").await;
-                let live = |peer: &&Value| peer["liveness"] == "live";
-                let sees = status.map(|status| {
-                    status["peers"].as_array().map_or(0, |peers| peers.iter().filter(live).count())
+                let is_live = |peer: &&Value| peer["liveness"] == "live";
+                let live_peers = status.map(|status| {
+                    status["peers"]
+                        .as_array()
+                        .map_or(0, |peers| peers.iter().filter(is_live).count())
                 });
                 ready.is_ok_and(|ready| ready["ready"] == true)
-                    && sees.is_ok_and(|sees| sees >= all)
+                    && live_peers.is_ok_and(|peers| peers >= all)
             })
             .await?;
         }
         Ok(())
     }
 
-    /// Waits until a condition holds; an error after half a minute.
-    pub async fn wait_for(&self, what: &str, holds: impl AsyncFn() -> bool) -> io::Result<()> {
-        for _ in 0..MOST_LOOKS {
+    /// Waits until `holds` returns true; fails after about 30 s. `what` names the condition in the
+    /// error.
+    pub async fn wait_until(&self, what: &str, holds: impl AsyncFn() -> bool) -> io::Result<()> {
+        for _ in 0..MAX_CHECKS {
             if holds().await {
                 return Ok(());
             }
-            time::sleep(LOOK).await;
+            time::sleep(CHECK_INTERVAL).await;
         }
-        Err(io::Error::new(io::ErrorKind::TimedOut, format!("{what}: never came")))
+        Err(io::Error::new(io::ErrorKind::TimedOut, format!("timed out waiting for {what}")))
     }
 
-    /// The file that holds the deployment's key.
+    /// Returns the path of the file with the deployment key.
     pub fn key_file(&self) -> PathBuf {
         self.dir.join("key")
     }
 
-    /// Addresses of all boxes, for callers.
+    /// Returns the caller URLs of all boxes.
     pub fn entries(&self) -> Vec<String> {
         self.boxes.values().map(|child| format!("http://{}", child.address())).collect()
     }
 
-    /// A client for operators.
+    /// Returns a client for operators.
     pub fn operator(&self) -> EntryClient {
         self.client()
     }
 
-    /// A client for a trainer that may use all boxes.
+    /// Returns a client for a trainer that can use all boxes.
     pub fn trainer(&self, pool: &PoolName, trainer: &TrainerId) -> TrainerClient {
         let entry = Arc::new(self.client());
         TrainerClient::new(entry, pool.clone(), trainer.clone())
@@ -316,12 +321,12 @@
     fn client(&self) -> EntryClient {
         EntryClient::new(EntrySettings {
             entries: self.entries(),
-            key: Some(KEY.to_owned()),
+            key: Some(DEPLOYMENT_KEY.to_owned()),
             patience: Duration::from_mins(1),
         })
     }
 
-    /// A pool over all engines and scorers.
+    /// Returns the specification of a pool with all engines and scorers.
     pub fn pool(&self, name: &PoolName, trainer: &TrainerId, version: ModelVersion) -> PoolSpec {
         let ids = |map: &BTreeMap<String, ChildProcess>, prefix: &str| -> Vec<TargetId> {
             let named = map.keys().filter(|id| id.starts_with(prefix));
@@ -340,7 +345,7 @@
         }
     }
 
-    /// Applies a pool and gives the generation accepted.
+    /// Applies a pool specification and returns the accepted generation.
     pub async fn apply(&self, spec: &PoolSpec) -> io::Result<u64> {
         let path = format!("/v1/pools/{}", spec.name);
         let applied: Value = self
@@ -351,13 +356,13 @@
         Ok(applied["generation"].as_u64().unwrap_or_default())
     }
 
-    /// The box that keeps a trainer's step now, by its own word.
+    /// Returns the box that reports itself as the keeper of an open step of the trainer.
     pub async fn keeper(&self, trainer: &TrainerId) -> Option<String> {
         for (id, child) in &self.boxes {
-            // A frozen box does not answer, so it is not asked for long.
-            let asked =
+            // A frozen box does not respond, so the timeout is short.
+            let response =
                 time::timeout(Duration::from_millis(300), self.read(child.address(), "/v1/status"));
-            let Ok(Ok(status)) = asked.await else { continue };
+            let Ok(Ok(status)) = response.await else { continue };
             let kept = status["kept"].as_array().cloned().unwrap_or_default();
             let keeps = |entry: &Value| {
                 entry["trainer"] == trainer.as_str()
@@ -371,7 +376,7 @@
         None
     }
 
-    /// Stops every box as planned and gives the exit codes.
+    /// Stops every box gracefully and returns the exit codes.
     pub async fn stop_boxes(&mut self) -> io::Result<Vec<Option<i32>>> {
         for child in self.boxes.values() {
             child.signal(Signal::Terminate).await?;
--- a/crates/demo/src/lib.rs
+++ b/crates/demo/src/lib.rs
@@ -1,8 +1,8 @@
-//! A small deployment as separate processes on loopback, for the demo and for the tests that
-//! kill, freeze and stop real daemons.
+//! A small deployment of separate processes on loopback, for the demo and for tests that kill,
+//! freeze and stop real daemons.
 //!
-//! The harness plays the parts of the platform's scheduler and balancer: it starts processes,
-//! lists boxes and targets at the platform stand-in, and knows every address.
+//! The harness replaces the platform's scheduler and load balancer: it starts processes,
+//! registers boxes and targets with the platform stand-in, and stores their addresses.
 
 pub mod fleet;
 pub mod process;
--- a/crates/demo/src/process.rs
+++ b/crates/demo/src/process.rs
@@ -1,4 +1,4 @@
-//! One child process: started, told where it listens, signalled, stopped.
+//! Starts, signals and stops a child process that prints the addresses it listens on.
 
 use std::io;
 use std::path::PathBuf;
@@ -8,16 +8,16 @@
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::process::{Child, Command};
 
-/// A signal to a child.
+/// A signal to a child process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Signal {
-    /// Ends at once.
+    /// SIGKILL: ends the process at once.
     Kill,
-    /// Freezes.
+    /// SIGSTOP: freezes the process.
     Stop,
-    /// Thaws.
+    /// SIGCONT: resumes a frozen process.
     Continue,
-    /// Asks for a planned stop.
+    /// SIGTERM: requests a graceful stop.
     Terminate,
 }
 
@@ -32,19 +32,19 @@
     }
 }
 
-/// A child process that has said where it listens; it is killed when dropped.
+/// A child process that has printed its addresses. It is killed on drop.
 #[derive(Debug)]
 pub struct ChildProcess {
     child: Child,
-    /// Words of the line in which it said where it listens.
+    /// Words of the `listening` line after the first.
     pub addresses: Vec<String>,
 }
 
-/// The path of one of this workspace's programs, beside the running one.
+/// Returns the path of a binary of this workspace, in the directory of the running one.
 pub fn program(name: &str) -> io::Result<PathBuf> {
     let mut dir = std::env::current_exe()?;
     dir.pop();
-    // Tests run from a folder below the programs'.
+    // Test binaries are in the `deps` subdirectory.
     if dir.ends_with("deps") {
         dir.pop();
     }
@@ -56,13 +56,13 @@
     Err(io::Error::new(io::ErrorKind::NotFound, hint))
 }
 
-/// Sends a signal to a process by its id; only ever to one that the caller has started.
+/// Sends a signal to a process. The caller must have started this process.
 pub async fn send_signal(id: u32, signal: Signal) -> io::Result<()> {
-    Command::new("kill").arg(signal.flag()).arg(id.to_string()).status().await.map(|_done| ())
+    Command::new("kill").arg(signal.flag()).arg(id.to_string()).status().await.map(|_status| ())
 }
 
 impl ChildProcess {
-    /// Starts a program and waits until it says where it listens.
+    /// Starts a program and waits until it prints its addresses.
     pub async fn start(name: &str, args: &[String], log: Stdio) -> io::Result<Self> {
         let mut child = Command::new(program(name)?)
             .args(args)
@@ -71,7 +71,8 @@
             .stderr(log)
             .kill_on_drop(true)
             .spawn()?;
-        let stdout = child.stdout.take().ok_or_else(|| io::Error::other("no standard output"))?;
+        let stdout =
+            child.stdout.take().ok_or_else(|| io::Error::other("child has no standard output"))?;
         let mut lines = BufReader::new(stdout).lines();
         while let Some(line) = lines.next_line().await? {
             let mut words = line.split_whitespace();
@@ -80,26 +81,26 @@
                 return Ok(Self { child, addresses });
             }
         }
-        Err(io::Error::other(format!("{name} ended before it listened")))
+        Err(io::Error::other(format!("{name} exited before it printed its address")))
     }
 
-    /// The first address it listens on.
+    /// Returns the first address that the process listens on.
     pub fn address(&self) -> &str {
         self.addresses.first().map_or("", String::as_str)
     }
 
-    /// Its process id, while it runs.
+    /// Returns the process id, or `None` after the process has been waited for.
     pub fn id(&self) -> Option<u32> {
         self.child.id()
     }
 
-    /// Sends a signal.
+    /// Sends a signal; does nothing after the process has been waited for.
     pub async fn signal(&self, signal: Signal) -> io::Result<()> {
         let Some(id) = self.child.id() else { return Ok(()) };
         send_signal(id, signal).await
     }
 
-    /// Waits for its end.
+    /// Waits until the process exits.
     pub async fn wait(&mut self) -> io::Result<ExitStatus> {
         self.child.wait().await
     }
--- a/crates/demo/tests/traces.rs
+++ b/crates/demo/tests/traces.rs
@@ -1,4 +1,4 @@
-//! Traces: a span for each hop, exported to the collector named, in the caller's own trace.
+//! Tracing: the daemon exports its spans to the collector, within the caller's trace.
 
 use std::net::SocketAddr;
 use std::process::Stdio;
@@ -13,23 +13,24 @@
 
 type Bodies = Arc<Mutex<Vec<Bytes>>>;
 
-/// The trace that the caller began.
+/// Trace id that the caller sends.
 const TRACE_ID: [u8; 16] = [0xab; 16];
 
-async fn take(State(bodies): State<Bodies>, body: Bytes) {
+async fn store_body(State(bodies): State<Bodies>, body: Bytes) {
     bodies.lock().expect("no panic").push(body);
 }
 
 async fn collector() -> (SocketAddr, Bodies) {
     let bodies = Bodies::default();
-    let router = Router::new().route("/v1/traces", post(take)).with_state(Arc::clone(&bodies));
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("it is bound");
+    let router =
+        Router::new().route("/v1/traces", post(store_body)).with_state(Arc::clone(&bodies));
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind to a free port");
+    let address = listener.local_addr().expect("listener is bound");
     tokio::spawn(async move { axum::serve(listener, router).await });
     (address, bodies)
 }
 
-fn holds(body: &Bytes, part: &[u8]) -> bool {
+fn contains(body: &Bytes, part: &[u8]) -> bool {
     body.windows(part.len()).any(|window| window == part)
 }
 
@@ -38,7 +39,7 @@
     let (collector, bodies) = collector().await;
     let words = |args: &[&str]| args.iter().map(|word| (*word).to_owned()).collect::<Vec<_>>();
     let platform = ChildProcess::start("standins", &words(&["platform"]), Stdio::null()).await;
-    let platform = platform.expect("it starts");
+    let platform = platform.expect("platform starts");
     let args = words(&[
         "--box-id",
         "box-1",
@@ -58,15 +59,16 @@
         &format!("http://{collector}/v1/traces"),
     ]);
     let mut daemon =
-        ChildProcess::start("gannetwayd", &args, Stdio::null()).await.expect("it starts");
+        ChildProcess::start("gannetwayd", &args, Stdio::null()).await.expect("daemon starts");
     let traceparent = format!("00-{}-00f067aa0ba902b7-01", "ab".repeat(16));
     let url = format!("http://{}/v1/call/no-such-service/x", daemon.address());
     let called = reqwest::Client::new().get(url).header("traceparent", traceparent).send().await;
-    assert_eq!(called.expect("an answer").status().as_u16(), 503);
-    daemon.signal(Signal::Terminate).await.expect("signalled");
-    // The daemon sends what is left to the collector before it ends.
-    assert_eq!(daemon.wait().await.expect("ended").code(), Some(0));
+    assert_eq!(called.expect("daemon responds").status().as_u16(), 503);
+    daemon.signal(Signal::Terminate).await.expect("signal is sent");
+    // The daemon exports the remaining spans before it exits.
+    assert_eq!(daemon.wait().await.expect("daemon exits").code(), Some(0));
     let bodies = bodies.lock().expect("no panic");
-    let exported = bodies.iter().any(|body| holds(body, &TRACE_ID) && holds(body, b"http.call"));
-    assert!(exported, "{} exports without the caller's trace", bodies.len());
+    let exported =
+        bodies.iter().any(|body| contains(body, &TRACE_ID) && contains(body, b"http.call"));
+    assert!(exported, "none of {} exports contains the caller's trace", bodies.len());
 }
