--- a/crates/bench/src/baselines.rs
+++ b/crates/bench/src/baselines.rs
@@ -1,4 +1,4 @@
-//! Baselines that the choice of target is measured against.
+//! Baseline placement policies, to compare with the product's policy.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,12 +7,12 @@
 use placement::{PlacementPolicy, TargetHint};
 use rand::Rng;
 
-/// Loads as the homes last told them, and nothing placed since.
+/// Target loads as last reported by their homes, without requests placed since.
 #[derive(Debug, Default)]
-struct Reports(BTreeMap<TargetId, u32>);
+struct ReportedLoads(BTreeMap<TargetId, u32>);
 
-impl Reports {
-    fn note(&mut self, id: &TargetId, hint: &TargetHint) {
+impl ReportedLoads {
+    fn record(&mut self, id: &TargetId, hint: &TargetHint) {
         self.0.insert(id.clone(), hint.running + hint.waiting);
     }
 
@@ -21,26 +21,26 @@
     }
 }
 
-/// One target after the other, whatever their load.
+/// Chooses targets in turn, regardless of their load.
 #[derive(Debug, Default)]
 pub struct RoundRobin {
     next: usize,
 }
 
-/// The target with the least load in its last report.
+/// Chooses the target with the least reported load.
 #[derive(Debug, Default)]
 pub struct LeastReported {
-    reports: Reports,
+    reports: ReportedLoads,
 }
 
-/// The less loaded, by report, of two drawn at random.
+/// Chooses the target with the lower reported load of two random ones.
 #[derive(Debug, Default)]
 pub struct TwoRandom {
-    reports: Reports,
+    reports: ReportedLoads,
 }
 
-/// What the baselines do not look at.
-macro_rules! ignore_the_rest {
+/// Implements the methods that the baselines ignore.
+macro_rules! ignore_other_events {
     () => {
         fn assume_limit(&mut self, _: u32) {}
 
@@ -75,7 +75,7 @@
 
     fn hinted(&mut self, _: Moment, _: &TargetId, _: &TargetHint) {}
 
-    ignore_the_rest!();
+    ignore_other_events!();
 }
 
 impl PlacementPolicy for LeastReported {
@@ -90,10 +90,10 @@
     }
 
     fn hinted(&mut self, _: Moment, id: &TargetId, hint: &TargetHint) {
-        self.reports.note(id, hint);
+        self.reports.record(id, hint);
     }
 
-    ignore_the_rest!();
+    ignore_other_events!();
 }
 
 impl PlacementPolicy for TwoRandom {
@@ -110,8 +110,8 @@
     }
 
     fn hinted(&mut self, _: Moment, id: &TargetId, hint: &TargetHint) {
-        self.reports.note(id, hint);
+        self.reports.record(id, hint);
     }
 
-    ignore_the_rest!();
+    ignore_other_events!();
 }
--- a/crates/bench/src/beats.rs
+++ b/crates/bench/src/beats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: what a box sends and receives a second, and the time it takes to handle.
+//! Heartbeats: bytes that a box sends and receives per second, and the time to process them.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -10,11 +10,11 @@
 
 use crate::table;
 
-/// Seconds of beats at each size; whole cycles of full beats.
-const SECONDS: u64 = 60;
-/// Seconds before counting starts, while tables fill.
-const WARM_UP: u64 = 120;
-/// Bytes that framing, TCP and IP add to a beat.
+/// Measurement time at each size, in seconds; a multiple of the cycle of full heartbeats.
+const MEASURED_SECONDS: u64 = 60;
+/// Time before the measurement, in seconds, while member tables fill.
+const WARM_UP_SECONDS: u64 = 120;
+/// Overhead of framing, TCP and IP per heartbeat, in bytes.
 const PACKET_BYTES: u64 = 4 + 32 + 20;
 
 struct Size {
@@ -28,7 +28,7 @@
     received: u64,
 }
 
-/// Prints bytes a second for each box, and microseconds for each beat.
+/// Prints bytes per second of each box, and microseconds per heartbeat.
 pub fn measure() {
     let sizes = [
         Size { domains: 4, boxes: 8 },
@@ -52,8 +52,8 @@
 
 fn record(index: usize, domains: usize) -> MemberRecord {
     MemberRecord {
-        id: format!("box-{index:04}").parse().expect("an id"),
-        domain: format!("domain-{:02}", index % domains).parse().expect("an id"),
+        id: format!("box-{index:04}").parse().expect("valid id"),
+        domain: format!("domain-{:02}", index % domains).parse().expect("valid id"),
         incarnation: Incarnation::new(1_790_000_000_000),
         address: format!("10.{}.{}.{}:7000", index % domains, index / 250, index % 250),
         leaving: false,
@@ -64,31 +64,32 @@
     let records: Vec<MemberRecord> =
         (0..size.boxes).map(|index| record(index, size.domains)).collect();
     let mut tables: BTreeMap<String, MemberTable> = BTreeMap::new();
-    for me in &records {
-        let mut table = MemberTable::new(me.clone());
-        // As the platform's list seeds it.
+    for own in &records {
+        let mut table = MemberTable::new(own.clone());
+        // The platform's list of boxes initializes the table.
         for other in &records {
-            let told = RelayedRecord { record: other.clone(), age: Duration::ZERO };
-            table.merge_relayed(Moment::START, told);
+            let relayed = RelayedRecord { record: other.clone(), age: Duration::ZERO };
+            table.merge_relayed(Moment::START, relayed);
         }
-        tables.insert(me.address.clone(), table);
+        tables.insert(own.address.clone(), table);
     }
     let mut counts: BTreeMap<String, Counts> = BTreeMap::new();
-    let mut handled = 0_u32;
-    let mut busy = Duration::ZERO;
-    for second in 1..=WARM_UP + SECONDS {
+    let mut heartbeat_count = 0_u32;
+    let mut processing_time = Duration::ZERO;
+    for second in 1..=WARM_UP_SECONDS + MEASURED_SECONDS {
         let now = Moment::START + Duration::from_secs(second);
         let started = Instant::now();
-        let mut beats = Vec::new();
+        let mut heartbeats = Vec::new();
         for (from, table) in &mut tables {
-            beats
-                .extend(table.poll(now, Generation::new(7)).into_iter().map(|b| (from.clone(), b)));
+            heartbeats.extend(
+                table.poll(now, Generation::new(7)).into_iter().map(|beat| (from.clone(), beat)),
+            );
         }
-        busy += started.elapsed();
-        for (from, out) in beats {
+        processing_time += started.elapsed();
+        for (from, out) in heartbeats {
             let wire = heartbeat_to_wire(&out.beat, Generation::new(7));
             let bytes = wire.encoded_len() as u64 + PACKET_BYTES;
-            if second > WARM_UP {
+            if second > WARM_UP_SECONDS {
                 counts.entry(from).or_default().sent += bytes;
                 counts.entry(out.to.clone()).or_default().received += bytes;
             }
@@ -96,23 +97,24 @@
             if let Some(table) = tables.get_mut(&out.to) {
                 table.receive_heartbeat(now, out.beat);
             }
-            busy += started.elapsed();
-            handled += 1;
+            processing_time += started.elapsed();
+            heartbeat_count += 1;
         }
     }
     let all: Vec<&Counts> = counts.values().collect();
-    let sent = all.iter().map(|count| count.sent).sum::<u64>() / (all.len() as u64 * SECONDS);
-    let most_sent = all.iter().map(|count| count.sent).max().unwrap_or(0) / SECONDS;
-    let most_received = all.iter().map(|count| count.received).max().unwrap_or(0) / SECONDS;
-    let now = Moment::START + Duration::from_secs(WARM_UP + SECONDS);
-    let known = tables.values().map(|table| table.all(now).len()).max().unwrap_or(0);
+    let sent =
+        all.iter().map(|count| count.sent).sum::<u64>() / (all.len() as u64 * MEASURED_SECONDS);
+    let max_sent = all.iter().map(|count| count.sent).max().unwrap_or(0) / MEASURED_SECONDS;
+    let max_received = all.iter().map(|count| count.received).max().unwrap_or(0) / MEASURED_SECONDS;
+    let now = Moment::START + Duration::from_secs(WARM_UP_SECONDS + MEASURED_SECONDS);
+    let members = tables.values().map(|table| table.all(now).len()).max().unwrap_or(0);
     vec![
         size.boxes.to_string(),
         size.domains.to_string(),
         sent.to_string(),
-        most_sent.to_string(),
-        most_received.to_string(),
-        known.to_string(),
-        format!("{:.2}", busy.as_secs_f64() * 1e6 / f64::from(handled)),
+        max_sent.to_string(),
+        max_received.to_string(),
+        members.to_string(),
+        format!("{:.2}", processing_time.as_secs_f64() * 1e6 / f64::from(heartbeat_count)),
     ]
 }
--- a/crates/bench/src/daemon.rs
+++ b/crates/bench/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Real daemons at rest: memory, processor time, heartbeats and platform calls, over sizes.
+//! Idle daemons: memory, CPU time, heartbeat traffic and platform calls at several fleet sizes.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -12,10 +12,10 @@
 
 use crate::table;
 
-/// Clock ticks a second in /proc, on every Linux this runs on.
+/// Clock ticks per second in /proc (`USER_HZ`).
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// Processor time and memory used so far.
+/// CPU time and memory of one or more processes.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Usage {
     ticks: u64,
@@ -23,7 +23,7 @@
 }
 
 impl Usage {
-    /// What all boxes of a fleet used so far, together.
+    /// Returns the total usage of all boxes of a fleet.
     pub fn of_boxes(fleet: &Fleet) -> io::Result<Self> {
         let mut all = Self::default();
         for child in fleet.boxes.values() {
@@ -34,24 +34,24 @@
         Ok(all)
     }
 
-    /// Seconds of a core used since `before`.
+    /// Returns the CPU time used since `before`, in seconds.
     pub fn seconds_since(&self, before: &Self) -> f64 {
-        precise(self.ticks - before.ticks) / TICKS_PER_SECOND
+        to_f64(self.ticks - before.ticks) / TICKS_PER_SECOND
     }
 
-    /// Resident memory, in MiB.
+    /// Returns the resident memory, in MiB.
     pub fn mib(&self) -> f64 {
-        precise(self.kib) / 1_024.0
+        to_f64(self.kib) / 1_024.0
     }
 }
 
-/// Starts fleets of several sizes and prints what each box uses.
+/// Starts fleets of several sizes and prints the usage per box, measured over `seconds`.
 pub fn measure(seconds: u64) -> io::Result<()> {
     let runtime = Builder::new_multi_thread().enable_all().build()?;
     let sizes = [(1, 2), (1, 8), (1, 16), (4, 4)];
     let mut rows = Vec::new();
     for (domains, boxes) in sizes {
-        rows.push(runtime.block_on(watch(domains, boxes, seconds))?);
+        rows.push(runtime.block_on(measure_fleet(domains, boxes, seconds))?);
     }
     let heading = [
         "domains",
@@ -67,7 +67,7 @@
     Ok(())
 }
 
-async fn watch(domains: usize, boxes: usize, seconds: u64) -> io::Result<Vec<String>> {
+async fn measure_fleet(domains: usize, boxes: usize, seconds: u64) -> io::Result<Vec<String>> {
     let plan = FleetPlan {
         domains,
         boxes_per_domain: boxes,
@@ -88,49 +88,50 @@
 
 struct Snapshot {
     usage: Usage,
-    beat_bytes: u64,
+    heartbeat_bytes: u64,
     calls: [u64; 3],
 }
 
 impl Snapshot {
     async fn take(fleet: &Fleet) -> io::Result<Self> {
         let usage = Usage::of_boxes(fleet)?;
-        let mut beat_bytes = 0;
+        let mut heartbeat_bytes = 0;
         for child in fleet.boxes.values() {
-            beat_bytes += metric(child, "gannetway_heartbeat_sent_bytes_total").await?;
+            heartbeat_bytes += metric(child, "gannetway_heartbeat_sent_bytes_total").await?;
         }
         let counts = fleet.read(fleet.platform.address(), "/counts").await?;
         let call = |name: &str| counts[name].as_u64().unwrap_or_default();
-        Ok(Self { usage, beat_bytes, calls: [call("reads"), call("writes"), call("watches")] })
+        Ok(Self { usage, heartbeat_bytes, calls: [call("reads"), call("writes"), call("watches")] })
     }
 
     fn row(&self, before: &Self, domains: usize, boxes: usize, seconds: u64) -> Vec<String> {
-        let all = precise((domains * boxes) as u64);
-        let span = precise(seconds);
+        let all = to_f64((domains * boxes) as u64);
+        let span = to_f64(seconds);
         let mut row = vec![
             domains.to_string(),
             boxes.to_string(),
             format!("{:.2}", 100.0 * self.usage.seconds_since(&before.usage) / span / all),
             format!("{:.1}", self.usage.mib() / all),
-            format!("{:.0}", precise(self.beat_bytes - before.beat_bytes) / span / all),
+            format!("{:.0}", to_f64(self.heartbeat_bytes - before.heartbeat_bytes) / span / all),
         ];
         for (after, before) in self.calls.iter().zip(before.calls) {
-            row.push(format!("{:.2}", precise(after - before) / span));
+            row.push(format!("{:.2}", to_f64(after - before) / span));
         }
         row
     }
 }
 
-fn precise(number: u64) -> f64 {
+fn to_f64(number: u64) -> f64 {
     f64::from(u32::try_from(number).unwrap_or(u32::MAX))
 }
 
 fn usage_of(child: &ChildProcess) -> io::Result<Usage> {
-    let id = child.id().ok_or_else(|| io::Error::other("a box has ended"))?;
+    let id = child.id().ok_or_else(|| io::Error::other("a box has exited"))?;
     let stat = fs::read_to_string(format!("/proc/{id}/stat"))?;
-    // Fields 14 and 15, counted behind the name in brackets.
-    let behind = stat.rsplit(')').next().unwrap_or_default();
-    let fields: Vec<&str> = behind.split_whitespace().collect();
+    // CPU time in user and kernel mode: fields 14 and 15. The process name in field 2 may contain
+    // spaces, so the fields are counted after it.
+    let after_name = stat.rsplit(')').next().unwrap_or_default();
+    let fields: Vec<&str> = after_name.split_whitespace().collect();
     let number = |at: usize| fields.get(at).and_then(|text| text.parse().ok()).unwrap_or(0_u64);
     let status = fs::read_to_string(format!("/proc/{id}/status"))?;
     let line = status.lines().find(|line| line.starts_with("VmRSS:")).unwrap_or_default();
--- a/crates/bench/src/decisions.rs
+++ b/crates/bench/src/decisions.rs
@@ -1,4 +1,4 @@
-//! Decisions: time for each, over sizes, so that the slope shows.
+//! Time of each kind of decision at several sizes.
 
 use std::fs;
 use std::hint::black_box;
@@ -20,21 +20,21 @@
 
 use crate::table;
 
-/// Calls timed for each figure.
+/// Number of calls to time.
 const CALLS: u32 = 200_000;
-/// Slots of a step at the two-year size.
+/// Number of slots of a step at the size expected in two years.
 const STEP_SLOTS: u16 = 8_192;
 
 /// Prints all tables.
 pub fn measure() {
-    choosing();
-    admitting();
-    keeping();
-    conducting();
-    hashing();
+    measure_placement();
+    measure_admission();
+    measure_ledgers();
+    measure_rollouts();
+    measure_home_lookups();
 }
 
-fn each(calls: u32, mut work: impl FnMut()) -> Duration {
+fn time_each(calls: u32, mut work: impl FnMut()) -> Duration {
     let started = Instant::now();
     for _ in 0..calls {
         work();
@@ -47,14 +47,14 @@
 }
 
 fn targets(count: usize) -> Vec<TargetId> {
-    (0..count).map(|index| format!("engine-{index:05}").parse().expect("an id")).collect()
+    (0..count).map(|index| format!("engine-{index:05}").parse().expect("valid id")).collect()
 }
 
 fn window() -> VersionWindow {
     VersionWindow::new(ModelVersion::new(2), 1)
 }
 
-fn choosing() {
+fn measure_placement() {
     let rows = [10, 100, 250, 1_000, 5_000].map(|count| {
         let pool = targets(count);
         let mut chooser = TargetChooser::default();
@@ -62,7 +62,7 @@
             chooser.placed(id);
         }
         let mut rng = ChaCha8Rng::seed_from_u64(1);
-        let time = each(CALLS, || {
+        let time = time_each(CALLS, || {
             let chosen = chooser.choose(Moment::START, &pool, Some(window()), &mut rng);
             black_box(chosen);
         });
@@ -71,7 +71,7 @@
     table::print(&["targets in the pool", "ns a choice"], &rows);
 }
 
-fn admitting() {
+fn measure_admission() {
     let rows = [8, 16, 64, 256].map(|limit| {
         let mut queue = TargetQueue::new(TargetKind::Engine, limit);
         let reading = ReplicaReading {
@@ -82,14 +82,15 @@
             leaving: false,
         };
         queue.read(Moment::START, &reading);
-        let trainer: TrainerId = "trainer-1".parse().expect("an id");
-        let ask = AdmissionRequest {
+        let trainer: TrainerId = "trainer-1".parse().expect("valid id");
+        let request = AdmissionRequest {
             trainer: Some(trainer),
             window: Some(window()),
             deadline: Moment::START + Duration::from_mins(1),
         };
-        let time = each(CALLS, || {
-            if let Admission::Admitted(ticket) = queue.request_admission(Moment::START, ask.clone())
+        let time = time_each(CALLS, || {
+            if let Admission::Admitted(ticket) =
+                queue.request_admission(Moment::START, request.clone())
             {
                 queue.ended(ticket, TokenCount::new(100));
             }
@@ -122,7 +123,7 @@
 fn run_step(slots: u16, engine: &TargetId) -> Duration {
     let token = FencingToken::new(1);
     let started = Instant::now();
-    let mut ledger = StepLedger::open(step(slots), token, rule()).expect("a good step");
+    let mut ledger = StepLedger::open(step(slots), token, rule()).expect("valid step");
     let mut held = SlotSet::default();
     while !ledger.is_complete() {
         for _ in 0..256 {
@@ -130,15 +131,15 @@
             ledger.finished(work.attempt, sample(work.slot, engine));
         }
         let pull = Pull { held: held.clone(), seen: token, max_samples: 256 };
-        for sample in ledger.pull(&pull).expect("a good pull").samples {
+        for sample in ledger.pull(&pull).expect("valid pull").samples {
             held.insert(sample.slot);
         }
     }
     started.elapsed()
 }
 
-fn keeping() {
-    let engine: TargetId = "engine-1".parse().expect("an id");
+fn measure_ledgers() {
+    let engine: TargetId = "engine-1".parse().expect("valid id");
     let rows = [512, 2_048, STEP_SLOTS, 32_768].map(|slots| {
         let time = (0..5).map(|_| run_step(slots, &engine)).min().unwrap_or_default();
         let bytes = ledger_bytes(slots);
@@ -158,47 +159,47 @@
     table::print(&heading, &rows);
 }
 
-/// Resident bytes a slot of ledgers without samples.
+/// Returns the resident memory of ledgers without samples, in bytes per slot.
 fn ledger_bytes(slots: u16) -> Option<u64> {
-    /// Ledgers opened, so that their size stands out from the process's own.
+    /// Number of ledgers to open: enough that their size dominates other changes.
     const LEDGERS: u64 = 200;
-    let before = resident()?;
+    let before = resident_bytes()?;
     let open = || StepLedger::open(step(slots), FencingToken::new(1), rule());
     let ledgers: Vec<_> = (0..LEDGERS).map(|_| open()).collect();
-    let after = resident()?;
+    let after = resident_bytes()?;
     drop(black_box(ledgers));
     Some(after.saturating_sub(before) / (LEDGERS * u64::from(slots)))
 }
 
-/// This process's resident memory, in bytes.
-fn resident() -> Option<u64> {
+/// Returns the resident memory of this process, in bytes.
+fn resident_bytes() -> Option<u64> {
     let status = fs::read_to_string("/proc/self/status").ok()?;
     let line = status.lines().find(|line| line.starts_with("VmRSS:"))?;
     let kib: u64 = line.split_whitespace().nth(1)?.parse().ok()?;
     Some(kib * 1_024)
 }
 
-fn conducting() {
+fn measure_rollouts() {
     let rows = [10, 100, 250, 1_000].map(|count| {
         let replicas: Vec<(TargetId, bool)> =
             targets(count).into_iter().map(|id| (id, true)).collect();
-        let mut conductor = RolloutCoordinator::new(Moment::START, FencingToken::new(1));
+        let mut coordinator = RolloutCoordinator::new(Moment::START, FencingToken::new(1));
         let (mut orders, mut reads) = (0_usize, 0_usize);
         let started = Instant::now();
         for tick in 0..30_u64 {
             let now = Moment::START + Duration::from_millis(tick * 100);
             let version = ModelVersion::new(if tick < 10 { 1 } else { 2 });
-            conductor.want(version, SwapPolicy::AllAtOnce, replicas.iter().cloned());
-            for action in conductor.poll(now) {
+            coordinator.want(version, SwapPolicy::AllAtOnce, replicas.iter().cloned());
+            for action in coordinator.poll(now) {
                 match action {
                     RolloutAction::Order(order) => {
                         orders += 1;
-                        conductor.order_completed(now, &order.target, Some(true));
+                        coordinator.order_completed(now, &order.target, Some(true));
                     }
                     RolloutAction::Read(id) => {
                         reads += 1;
-                        let life = Incarnation::new(1);
-                        conductor.read(now, now, &id, life, Some(version));
+                        let incarnation = Incarnation::new(1);
+                        coordinator.read(now, now, &id, incarnation, Some(version));
                     }
                 }
             }
@@ -210,11 +211,11 @@
     table::print(&heading, &rows);
 }
 
-fn hashing() {
+fn measure_home_lookups() {
     let rows = [6, 21, 41, 82].map(|count| {
         let members: Vec<BoxId> =
-            (0..count).map(|index| format!("box-{index:04}").parse().expect("an id")).collect();
-        let time = each(CALLS, || {
+            (0..count).map(|index| format!("box-{index:04}").parse().expect("valid id")).collect();
+        let time = time_each(CALLS, || {
             black_box(rendezvous::owner("engine-00001", &members));
         });
         vec![count.to_string(), nanos(time)]
--- a/crates/bench/src/documents.rs
+++ b/crates/bench/src/documents.rs
@@ -1,4 +1,4 @@
-//! Documents: bytes and time of the configuration and of the target list.
+//! Size and parsing time of the configuration and of the target list.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -8,7 +8,7 @@
 
 use crate::table;
 
-/// Prints both tables.
+/// Prints the tables of both documents.
 pub fn measure() {
     configuration();
     target_list();
@@ -18,35 +18,35 @@
     let text = format!(
         "name = 'pool-{index:02}'\nversion = 1\ntrainers = ['trainer-{index:02}']\nengines = ['e']\n"
     );
-    let mut pool = parse_pool(&text).expect("a good pool");
+    let mut pool = parse_pool(&text).expect("valid pool");
     pool.engines = (0..engines).map(engine).collect();
     pool
 }
 
 fn engine(index: usize) -> TargetId {
-    format!("engine-{index:05}").parse().expect("an id")
+    format!("engine-{index:05}").parse().expect("valid id")
 }
 
 fn write_id(index: usize) -> String {
     format!("w{index:032x}")
 }
 
-fn read_time<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> Duration {
+fn parse_time<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> Duration {
     let started = Instant::now();
     let read: Result<T, _> = serde_json::from_slice(bytes);
     let time = started.elapsed();
-    assert!(read.is_ok(), "a document reads what it wrote");
+    assert!(read.is_ok(), "serialized document cannot be parsed");
     time
 }
 
-fn each(mut look: impl FnMut() -> bool) -> Duration {
-    /// Look-ups timed for each figure.
-    const LOOKS: u32 = 10_000;
+fn time_each(mut lookup: impl FnMut() -> bool) -> Duration {
+    /// Number of lookups to time.
+    const LOOKUPS: u32 = 10_000;
     let started = Instant::now();
-    for _ in 0..LOOKS {
-        black_box(look());
+    for _ in 0..LOOKUPS {
+        black_box(lookup());
     }
-    started.elapsed() / LOOKS
+    started.elapsed() / LOOKUPS
 }
 
 fn configuration() {
@@ -56,7 +56,7 @@
         for index in 0..pools {
             config = config.with_pool(pool(index, engines), write_id(index));
         }
-        let whole = serde_json::to_vec(&config).unwrap_or_default();
+        let full = serde_json::to_vec(&config).unwrap_or_default();
         let base = config.generation;
         let changed = PoolSpec { version: ModelVersion::new(2), ..pool(0, engines) };
         let next = config.with_pool(changed, write_id(99));
@@ -64,9 +64,9 @@
         vec![
             pools.to_string(),
             engines.to_string(),
-            whole.len().to_string(),
+            full.len().to_string(),
             change.len().to_string(),
-            format!("{:.0}", read_time::<FleetConfig>(&whole).as_secs_f64() * 1e6),
+            format!("{:.0}", parse_time::<FleetConfig>(&full).as_secs_f64() * 1e6),
         ]
     });
     let heading =
@@ -78,7 +78,7 @@
     let rows = [20, 250, 1_000, 5_000].map(|count| {
         let records = (0..count).map(|index| TargetRecord {
             id: engine(index),
-            domain: format!("domain-{:02}", index % 20).parse().expect("an id"),
+            domain: format!("domain-{:02}", index % 20).parse().expect("valid id"),
             kind: pools::TargetKind::Engine,
             service: None,
             address: format!("http://10.{}.{}.{}:8000", index % 20, index / 250, index % 250),
@@ -86,16 +86,16 @@
             leaving: false,
         });
         let list = TargetList { revision: Generation::new(1), targets: records.collect() };
-        let whole = serde_json::to_vec(&list).unwrap_or_default();
+        let full = serde_json::to_vec(&list).unwrap_or_default();
         let wanted = engine(count - 1);
-        let scan = each(|| list.targets.iter().find(|record| record.id == wanted).is_some());
+        let scan = time_each(|| list.targets.iter().find(|record| record.id == wanted).is_some());
         let index = TargetIndex::new(list);
         vec![
             count.to_string(),
-            whole.len().to_string(),
-            format!("{:.0}", read_time::<TargetList>(&whole).as_secs_f64() * 1e6),
+            full.len().to_string(),
+            format!("{:.0}", parse_time::<TargetList>(&full).as_secs_f64() * 1e6),
             scan.as_nanos().to_string(),
-            each(|| index.find(&wanted).is_some()).as_nanos().to_string(),
+            time_each(|| index.find(&wanted).is_some()).as_nanos().to_string(),
         ]
     });
     let heading =
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,7 +1,7 @@
-//! Measurements behind the capacity page and the design notes.
+//! Benchmarks for capacity planning.
 //!
-//! Each subcommand prints one table. Figures that depend on the machine are slopes of time;
-//! bytes and counts come out the same on any machine.
+//! Each subcommand prints its results as Markdown tables. Times depend on the machine; byte sizes
+//! and counts do not.
 
 mod baselines;
 mod beats;
@@ -18,7 +18,7 @@
 
 use clap::{Parser, Subcommand};
 
-/// Measures slopes; see docs/CAPACITY.md for what is worked out from them.
+/// Benchmarks for capacity planning; docs/CAPACITY.md uses the results.
 #[derive(Debug, Parser)]
 struct Cli {
     #[command(subcommand)]
@@ -29,32 +29,32 @@
 enum What {
     /// Bytes and time of heartbeats at several fleet sizes.
     Beats,
-    /// Time and memory of decisions: choosing, admitting, keeping, conducting.
+    /// Time and memory of placement, admission, ledgers, rollouts and home lookups.
     Decisions,
     /// Size and time of the configuration and the target list.
     Documents,
-    /// Memory, processor time and platform calls of real daemons at rest.
+    /// Memory, CPU time and platform calls of idle daemons.
     Daemon {
-        /// Seconds watched at each size.
+        /// Measurement time at each size, in seconds.
         #[arg(long, default_value_t = 15)]
         seconds: u64,
     },
-    /// Processor time and memory of real daemons for each sample of a step.
+    /// CPU time of daemons per sample of a step, and their memory.
     Steps,
-    /// Memory, bytes and time of what is remembered of work that ends targets.
+    /// Memory, record sizes and decision time of the table of suspects.
     Suspects,
-    /// Whole steps under each way to choose targets, by seed.
+    /// Simulated steps with each placement policy, over several seeds.
     Policy,
-    /// Plain requests through a daemon beside the same requests sent directly.
+    /// Plain requests through a daemon, compared with the same requests sent directly.
     Plain {
-        /// Requests of each kind.
+        /// Number of requests per path.
         #[arg(long, default_value_t = 20_000)]
         requests: usize,
     },
 }
 
 fn main() -> ExitCode {
-    let done = match Cli::parse().what {
+    let result = match Cli::parse().what {
         What::Beats => {
             beats::measure();
             Ok(())
@@ -79,7 +79,7 @@
         }
         What::Plain { requests } => plain::measure(requests),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("bench: {error}");
--- a/crates/bench/src/plain.rs
+++ b/crates/bench/src/plain.rs
@@ -1,4 +1,4 @@
-//! Plain requests through a daemon, beside the same requests sent directly.
+//! Plain requests through a daemon, compared with the same requests sent directly.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 
 use crate::table;
 
-/// Callers that ask at the same time when counting requests a second.
+/// Number of concurrent callers in the throughput measurement.
 const CALLERS: usize = 32;
 
 struct Figures {
@@ -22,7 +22,7 @@
     failed: usize,
 }
 
-/// Prints latency of one caller and throughput of many, direct and through one box.
+/// Prints the latency with one caller and the throughput with many, directly and through one box.
 pub fn measure(requests: usize) -> io::Result<()> {
     let runtime = Builder::new_multi_thread().worker_threads(3).enable_all().build()?;
     runtime.block_on(async {
@@ -62,10 +62,10 @@
     let client = Client::new();
     let failed = Arc::new(AtomicUsize::new(0));
     let mut times = Vec::with_capacity(requests / 4);
-    // The first requests open connections and start the home.
+    // The first requests, which open connections and start the home, are not measured.
     for index in 0..requests / 4 + 100 {
         let started = Instant::now();
-        ask(&client, url, &failed).await;
+        send_request(&client, url, &failed).await;
         if index >= 100 {
             times.push(started.elapsed());
         }
@@ -76,7 +76,7 @@
         let (client, url, failed) = (client.clone(), url.to_owned(), Arc::clone(&failed));
         tokio::spawn(async move {
             for _ in 0..requests / CALLERS {
-                ask(&client, &url, &failed).await;
+                send_request(&client, &url, &failed).await;
             }
         })
     });
@@ -92,9 +92,9 @@
     })
 }
 
-async fn ask(client: &Client, url: &str, failed: &AtomicUsize) {
-    let whole = async { client.get(url).send().await?.error_for_status()?.bytes().await }.await;
-    if whole.is_err() {
+async fn send_request(client: &Client, url: &str, failed: &AtomicUsize) {
+    let result = async { client.get(url).send().await?.error_for_status()?.bytes().await }.await;
+    if result.is_err() {
         failed.fetch_add(1, Ordering::Relaxed);
     }
 }
--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -1,7 +1,7 @@
-//! Policies over whole steps: the real decision code against the engine model, by seed.
+//! Simulates complete steps with each placement policy and the engine model, over several seeds.
 //!
-//! A step's samples have the same lengths under every policy, so each is compared with the
-//! same lower bound: the longest sample alone, or all work at the engines' full rate.
+//! The samples of a step have the same lengths with every policy, so all policies are compared
+//! with the same lower bound.
 
 use std::time::Duration;
 
@@ -13,10 +13,10 @@
 use crate::baselines::{LeastReported, RoundRobin, TwoRandom};
 use crate::table;
 
-/// Seeds of each figure.
+/// Number of seeds per policy.
 const SEEDS: u64 = 10;
-/// Longest answer in a session, in tokens.
-const LONGEST: u32 = 512;
+/// Maximum response length, in tokens.
+const MAX_TOKENS: u32 = 512;
 
 struct Size {
     name: &'static str,
@@ -26,12 +26,12 @@
 
 struct Outcome {
     ratio: f64,
-    wasted: f64,
+    extra_attempts: f64,
     breaches: usize,
     complete: bool,
 }
 
-/// Prints a table for each size.
+/// Prints a table per size.
 pub fn measure() {
     let sizes = [
         Size { name: "agency, 11 engines, 512 samples", engines: 11, groups: 64 },
@@ -78,7 +78,8 @@
     }
 }
 
-/// The longest sample alone, or all work at the engines' full rate, whichever is longer.
+/// Returns the lower bound of the step time: the time of the longest sample alone or of all work at
+/// the full rate of all engines, whichever is longer.
 fn lower_bound(plan: &WorldPlan) -> Duration {
     let settings = plan.engine;
     let mut longest = 0;
@@ -86,7 +87,7 @@
     for slot in 0..u64::from(plan.groups) * u64::from(plan.samples) {
         let group = slot / u64::from(plan.samples);
         let prompt = ContentDigest::of(plan.prompt(group).as_bytes()).get();
-        let length = response_length(prompt, slot, settings.min_tokens, LONGEST);
+        let length = response_length(prompt, slot, settings.min_tokens, MAX_TOKENS);
         longest = longest.max(length);
         all += length;
     }
@@ -101,7 +102,7 @@
 fn run<C: PlacementPolicy + Default>(size: &Size, seed: u64) -> Outcome {
     let plan = plan(size, seed);
     let bound = lower_bound(&plan);
-    // New weights in the middle of the step.
+    // Swaps the weights during the step.
     let swap = Fault::NameVersion(ModelVersion::new(2));
     let faults = FaultPlan::default().at(bound / 2, swap);
     let mut world: World<C> = World::new(plan, faults);
@@ -110,7 +111,7 @@
     let attempts = u32::try_from(verdict.attempts).unwrap_or(u32::MAX);
     Outcome {
         ratio: verdict.ended_at.since_start().as_secs_f64() / bound.as_secs_f64(),
-        wasted: f64::from(attempts) / f64::from(samples) - 1.0,
+        extra_attempts: f64::from(attempts) / f64::from(samples) - 1.0,
         breaches: verdict.breaches.len(),
         complete: verdict.complete,
     }
@@ -122,13 +123,13 @@
     let median = &outcomes[outcomes.len() / 2];
     let worst = outcomes.last().map_or(0.0, |outcome| outcome.ratio);
     let breaches: usize = outcomes.iter().map(|outcome| outcome.breaches).sum();
-    let whole = outcomes.iter().filter(|outcome| outcome.complete).count();
+    let complete = outcomes.iter().filter(|outcome| outcome.complete).count();
     vec![
         name.to_owned(),
         format!("{:.2}", median.ratio),
         format!("{worst:.2}"),
-        format!("{:.1}%", 100.0 * median.wasted),
+        format!("{:.1}%", 100.0 * median.extra_attempts),
         breaches.to_string(),
-        format!("{whole} of {SEEDS}"),
+        format!("{complete} of {SEEDS}"),
     ]
 }
--- a/crates/bench/src/steps.rs
+++ b/crates/bench/src/steps.rs
@@ -1,5 +1,4 @@
-//! What a step costs the boxes that carry it: processor time for each sample and chunk, and
-//! memory.
+//! Cost of a step at the boxes: CPU time per sample and chunk, and memory.
 
 use std::io;
 use std::path::PathBuf;
@@ -14,10 +13,10 @@
 use crate::daemon::Usage;
 use crate::table;
 
-/// Most tokens of a sample.
-const LONGEST: u32 = 256;
+/// Maximum number of tokens in a sample.
+const MAX_TOKENS: u32 = 256;
 
-/// Runs steps of several sizes through one box and through three, and prints their cost.
+/// Runs steps of several sizes on one box and on three boxes, and prints their cost.
 pub fn measure() -> io::Result<()> {
     let runtime = Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
     let mut rows = Vec::new();
@@ -52,7 +51,7 @@
     let groups = (0..samples / 8).map(|index| GroupSpec {
         prompt: format!("prompt {index}").into(),
         samples: 8,
-        max_tokens: TokenCount::new(LONGEST),
+        max_tokens: TokenCount::new(MAX_TOKENS),
     });
     let spec = StepSpec {
         step: StepNumber::new(1),
@@ -63,22 +62,22 @@
     let started = Instant::now();
     let mut step = fleet.trainer(&pool, &trainer).open(spec).await.map_err(io::Error::other)?;
     let (mut tokens, mut chunks) = (0_u32, 0_u32);
-    while let Some(taken) = step.next().await.map_err(io::Error::other)? {
-        for sample in taken {
+    while let Some(received) = step.next().await.map_err(io::Error::other)? {
+        for sample in received {
             tokens += sample.tokens().get();
             chunks += sample.tokens().get().div_ceil(CHUNK_TOKENS);
         }
     }
     let seconds = started.elapsed().as_secs_f64();
     let after = Usage::of_boxes(&fleet)?;
-    let busy = after.seconds_since(&before);
+    let cpu_seconds = after.seconds_since(&before);
     Ok(vec![
         boxes.to_string(),
         samples.to_string(),
         tokens.to_string(),
         format!("{seconds:.1}"),
-        format!("{:.2}", busy * 1e3 / f64::from(samples)),
-        format!("{:.0}", busy * 1e6 / f64::from(chunks)),
+        format!("{:.2}", cpu_seconds * 1e3 / f64::from(samples)),
+        format!("{:.0}", cpu_seconds * 1e6 / f64::from(chunks)),
         format!("{:.1}", after.mib() / f64::from(u32::try_from(boxes).unwrap_or(1))),
     ])
 }
--- a/crates/bench/src/suspects.rs
+++ b/crates/bench/src/suspects.rs
@@ -1,4 +1,4 @@
-//! What work under suspicion costs: bytes told of it, memory of a full book, time of a verdict.
+//! Cost of tracking suspects: record sizes, memory of a full table and time of a verdict.
 
 use std::fs;
 use std::hint::black_box;
@@ -9,53 +9,53 @@
 
 use crate::table;
 
-/// More than a book holds.
+/// Number of works to record; exceeds the capacity of the table.
 const WORKS: usize = 600;
-/// Verdicts that are timed.
+/// Number of verdicts to time.
 const VERDICTS: u32 = 200;
 
-/// Measures and prints.
+/// Prints the table.
 pub fn measure() {
-    let service: ServiceName = "desk".parse().expect("an id");
+    let service: ServiceName = "desk".parse().expect("valid id");
     let at = Moment::after_start(Duration::from_hours(1));
     let before = resident_kb();
-    let mut book = SuspectTable::default();
+    let mut suspect_table = SuspectTable::default();
     for number in 0..MAX_CRASHES {
-        let life = TargetIncarnation {
-            instance: format!("i-{number:010}").parse().expect("an id"),
+        let incarnation = TargetIncarnation {
+            instance: format!("i-{number:010}").parse().expect("valid id"),
             born: StartTime::new(1_779_616_324_046),
         };
         for work in 0..WORKS {
-            let end = TargetCrash { life: life.clone(), software: "v1".parse().ok() };
-            book.record_break(at, work_digest(work), &service, end);
+            let crash = TargetCrash { life: incarnation.clone(), software: "v1".parse().ok() };
+            suspect_table.record_break(at, work_digest(work), &service, crash);
         }
-        book.connection_refused(at, &life);
+        suspect_table.connection_refused(at, &incarnation);
     }
     let after = resident_kb();
-    let record = book.due_writes().into_iter().find_map(|write| match write {
+    let record = suspect_table.due_writes().into_iter().find_map(|write| match write {
         SuspectWrite::Publish { record, .. } => Some(record),
         SuspectWrite::Clear { .. } => None,
     });
-    let told = record.map_or(0, |mut record| {
-        let whole = serde_json::to_vec(&record).unwrap_or_default().len();
+    let full_bytes = record.map_or(0, |mut record| {
+        let full_bytes = serde_json::to_vec(&record).unwrap_or_default().len();
         record.ends.truncate(QUARANTINE_CRASHES);
         println!(
             "{QUARANTINE_CRASHES} ends: {} bytes told",
             serde_json::to_vec(&record).unwrap_or_default().len()
         );
-        whole
+        full_bytes
     });
-    let begun = Instant::now();
+    let started = Instant::now();
     for number in 0..VERDICTS {
-        black_box(book.suspected_versions(work_digest(number as usize), &service));
+        black_box(suspect_table.suspected_versions(work_digest(number as usize), &service));
     }
-    let verdict = begun.elapsed() / VERDICTS;
+    let verdict = started.elapsed() / VERDICTS;
     let body = vec![7_u8; 1 << 10];
-    let begun = Instant::now();
+    let started = Instant::now();
     for _ in 0..VERDICTS {
         black_box(WorkDigest::of(&[b"POST", b"desk.example", b"/quote/1", &body]));
     }
-    let digest = begun.elapsed() / VERDICTS;
+    let digest = started.elapsed() / VERDICTS;
     let heading = [
         "works held",
         "ends of each",
@@ -65,9 +65,9 @@
         "ns a digest of 1 KB",
     ];
     let row = vec![
-        book.len().to_string(),
+        suspect_table.len().to_string(),
         MAX_CRASHES.to_string(),
-        told.to_string(),
+        full_bytes.to_string(),
         after.saturating_sub(before).to_string(),
         format!("{:.1}", verdict.as_secs_f64() * 1e6),
         digest.as_nanos().to_string(),
@@ -79,7 +79,7 @@
     WorkDigest::of(&[&number.to_le_bytes()])
 }
 
-/// Memory of this process; zero where the system does not tell.
+/// Returns the resident memory of this process in KiB, or 0 if /proc is not available.
 fn resident_kb() -> u64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
--- a/crates/bench/src/table.rs
+++ b/crates/bench/src/table.rs
@@ -1,6 +1,6 @@
-//! Tables in Markdown, ready for a page.
+//! Output of Markdown tables.
 
-/// Prints a heading and its rows.
+/// Prints a Markdown table and an empty line.
 pub fn print(heading: &[&str], rows: &[Vec<String>]) {
     println!("| {} |", heading.join(" | "));
     println!("|{}", "---|".repeat(heading.len()));
