--- a/crates/xtask/src/ablate.rs
+++ b/crates/xtask/src/ablate.rs
@@ -27,7 +27,7 @@
     },
     Ablation {
         name: "told-loads",
-        without: "servers learn of weight loads that they did not order only from refusals",
+        without: "servers learn only from refusals of weight loads that they did not order",
         edit: SourceEdit {
             file: "crates/shards/src/loads.rs",
             from: "if serves { ctx.loads.current_loads",
