--- a/crates/links/tests/unresponsive_links.rs
+++ b/crates/links/tests/unresponsive_links.rs
@@ -60,7 +60,7 @@
     let key = DeploymentKey::new(KEY).expect("valid key");
     tokio::spawn(serve_links(listener, key, TestHandler, CancellationToken::new()));
     let proxy = FaultProxy::start().await.expect("binds a free port");
-    proxy.aim(target);
+    proxy.set_target(target);
     proxy
 }
 
@@ -80,11 +80,11 @@
 /// Faults that silence a connection towards the server, back from it, or in both directions.
 fn silence_faults() -> [fn(&mut LinkFaults); 3] {
     [
-        |faults| faults.silences_there += 1,
-        |faults| faults.silences_back += 1,
+        |faults| faults.silences_to_target += 1,
+        |faults| faults.silences_from_target += 1,
         |faults| {
-            faults.silences_there += 1;
-            faults.silences_back += 1;
+            faults.silences_to_target += 1;
+            faults.silences_from_target += 1;
         },
     ]
 }
