--- a/crates/usage/src/clock.rs
+++ b/crates/usage/src/clock.rs
@@ -33,7 +33,7 @@
 /// How long a step must last before it is applied. Wrong clocks are usually corrected within
 /// seconds, so a step that lasts is itself a correction.
 const STEP_WINDOW: Duration = Duration::from_secs(90);
-/// How long a reading of a box is used.
+/// How long a box's reading is used after it was received.
 const READING_TTL: Duration = Duration::from_secs(3);
 /// Number of readings, including this box's own, that make a quorum.
 const QUORUM: usize = 3;
--- a/crates/usage/src/plan.rs
+++ b/crates/usage/src/plan.rs
@@ -31,7 +31,7 @@
     pub settle: Duration,
     /// Delay after the end of a window if some boxes are unreachable.
     pub timeout: Duration,
-    /// Maximum number of past windows to report after a takeover.
+    /// Maximum number of past windows to report; older ones are skipped.
     pub max_behind: u64,
 }
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// Number of windows whose counts are kept. Older ones are skipped, since their counts are lost.
+/// Maximum number of past windows to report. Boxes may have dropped the counts of older ones.
 const MAX_BEHIND: u64 = 24;
 
 /// Next action of the reporting box.
@@ -97,7 +97,7 @@
     Unread,
     /// The object does not exist.
     Absent,
-    /// The last report, and whether the receiver accepted or refused it.
+    /// The last report; `delivered` once the receiver has accepted it or refused it permanently.
     Report { version: ObjectVersion, report: UsageReport, delivered: bool },
 }
 
@@ -106,7 +106,7 @@
 pub struct ReportPlan {
     times: ReportTimes,
     last: LastReport,
-    /// The first window that this box may report. Counts of earlier windows are incomplete.
+    /// The window to start with if no report is stored. Counts of earlier windows are incomplete.
     first: UsageWindow,
 }
 
@@ -139,7 +139,7 @@
         (now.millis() >= due).then_some(ReportAction::Commit { window, expect })
     }
 
-    /// The oldest window whose counts are kept.
+    /// The oldest window that is reported; boxes keep the counts at least that long.
     const fn oldest_kept(&self, now: UnixTime) -> UsageWindow {
         self.times.length.window_of(now).back(self.times.max_behind)
     }
--- a/crates/usage/src/table.rs
+++ b/crates/usage/src/table.rs
@@ -66,7 +66,7 @@
         *cell = Cell { requests: cell.requests + 1, changed };
     }
 
-    /// Merges a count of another box. Counts only rise, so a lower one is ignored.
+    /// Merges a count of another box. Counts only rise, so only a higher one is applied.
     pub fn merge(&mut self, received: UsageCount) {
         if received.window < self.oldest_window {
             return;
--- a/crates/usage/tests/clock.rs
+++ b/crates/usage/tests/clock.rs
@@ -16,15 +16,15 @@
     format!("box-{number}").parse().expect("a valid ID")
 }
 
-/// All boxes report their wall clock at `millis`, each with the error in `steps` (in milliseconds).
-fn observe_all(clock: &mut ClusterClock, millis: u64, steps: &[i64]) {
-    for (number, step) in steps.iter().enumerate() {
-        let time = (EPOCH + millis).saturating_add_signed(*step);
+/// Each box reports its wall clock at `millis`, wrong by its entry of `errors`, in milliseconds.
+fn observe_all(clock: &mut ClusterClock, millis: u64, errors: &[i64]) {
+    for (number, error) in errors.iter().enumerate() {
+        let time = (EPOCH + millis).saturating_add_signed(*error);
         clock.observe(at(millis), &name(number), UnixTime::new(time));
     }
 }
 
-/// Returns the error of the clock at `millis`.
+/// Returns the error of cluster time at `millis`, in milliseconds.
 fn clock_error(clock: &ClusterClock, millis: u64) -> i64 {
     let estimate = clock.now(at(millis)).expect("a clock reading").millis();
     estimate.cast_signed() - (EPOCH + millis).cast_signed()
