--- a/crates/replicas/src/lib.rs
+++ b/crates/replicas/src/lib.rs
@@ -80,12 +80,12 @@
 }
 
 impl ReplicaPlan {
-    /// Returns the due orders. `listed` is the number of serving replicas by domain. It is ignored
-    /// unless `is_current`: a store that is unavailable, or has just recovered, lists too few.
+    /// Returns the due orders. `listed` is the number of serving replicas by domain. Nothing is due
+    /// unless it `is_current`: a store that is unavailable, or has just recovered, lists too few.
     pub fn due(
         &mut self,
         now: Moment,
-        given: &BaselineReplicas,
+        baseline: &BaselineReplicas,
         limits: ReplicaLimits,
         listed: &BTreeMap<DomainId, u32>,
         is_current: bool,
@@ -95,7 +95,7 @@
             return Vec::new();
         }
         let mut due = Vec::new();
-        for (domain, wanted) in &given.domains {
+        for (domain, wanted) in &baseline.domains {
             let desired = limits.clamp(*wanted);
             if listed.get(domain).copied().unwrap_or_default() >= desired {
                 self.shortages.remove(domain);
@@ -115,11 +115,11 @@
 
     /// Applies the outcome of an order, which sets the delay before it is repeated.
     pub fn order_done(&mut self, now: Moment, order: &ReplicaOrder, outcome: OrderOutcome) {
-        let before = self.last_orders.get(&order.domain).map(|last_order| last_order.delay);
+        let previous = self.last_orders.get(&order.domain).map(|last_order| last_order.delay);
         let delay = match outcome {
             // Orders are idempotent, so the delay is short.
             OrderOutcome::Failed => Duration::from_secs(1),
-            OrderOutcome::Accepted | OrderOutcome::NoCapacity => before
+            OrderOutcome::Accepted | OrderOutcome::NoCapacity => previous
                 .map_or(MIN_REPEAT_DELAY, |delay| {
                     (delay * 2).clamp(MIN_REPEAT_DELAY, MAX_REPEAT_DELAY)
                 }),
