--- a/crates/front/src/server.rs
+++ b/crates/front/src/server.rs
@@ -150,7 +150,7 @@
         return Ok(response::not_run("no configuration yet", id.as_deref()));
     }
     if let Some(call) = calls::read_call(&head.method, path_of(&head))
-        && table.takes_jobs(host_of(&head))
+        && table.has_job_route(host_of(&head))
     {
         // Jobs belong to customers, so the key is required even on public routes.
         let caller = match identify(&state.view, &table, &head, false) {
--- a/crates/routing/src/cold.rs
+++ b/crates/routing/src/cold.rs
@@ -4,8 +4,8 @@
 //! can handle only a limited request rate for a while. The limit applies to all boxes together,
 //! even if they can't communicate, so each sender has a fixed quota. The senders are the shards.
 //! Two boxes may send for one shard at a time, because a former server may not have noticed its
-//! replacement yet. If there are more shards than requests per second, each target is assigned to
-//! some of the shards. Boxes that serve no shard have no quota and use warm targets only.
+//! replacement yet. If the limit is too low for every shard to have a quota, each target is assigned
+//! to some of the shards. Boxes that serve no shard have no quota and use warm targets only.
 
 use std::collections::VecDeque;
 use std::time::Duration;
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -193,7 +193,7 @@
     }
 
     /// Whether `host` has a route for jobs.
-    pub fn takes_jobs(&self, host: &str) -> bool {
+    pub fn has_job_route(&self, host: &str) -> bool {
         let routes = self.hosts.get(&host.to_ascii_lowercase());
         routes.is_some_and(|routes| routes.iter().any(|route| route.kind == RouteKind::Jobs))
     }
--- a/crates/routing/src/target.rs
+++ b/crates/routing/src/target.rs
@@ -72,7 +72,7 @@
 pub enum TargetFailure {
     /// The target was unreachable or unresponsive, or the connection broke.
     Broken,
-    /// The target refused the request for lack of capacity.
+    /// The target refused the request for now, usually because it is full or loads weights.
     Full,
     /// The target is gone, or restarted as another incarnation.
     Gone,
--- a/crates/routing/src/target_state.rs
+++ b/crates/routing/src/target_state.rs
@@ -97,7 +97,7 @@
         {
             return false;
         }
-        // Deferrable work avoids targets in backoff.
+        // Work that can be deferred needs a free slot at a target that is not backed off.
         !requirements.free_slot || (now >= self.backoff_until && self.load(now) < self.slots())
     }
 
--- a/crates/routing/src/target_table.rs
+++ b/crates/routing/src/target_table.rs
@@ -23,8 +23,8 @@
 const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
 /// Maximum backoff after failures; bounds how late a recovered target is noticed.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
-/// Backoff after a target refused a request because it was full or loaded weights; doubles with
-/// each consecutive refusal.
+/// Backoff after a target refused a request for now ([`TargetFailure::Full`]); doubles with each
+/// consecutive refusal.
 const INITIAL_FULL_BACKOFF: Duration = Duration::from_millis(60);
 /// Maximum backoff after such refusals.
 const MAX_FULL_BACKOFF: Duration = Duration::from_millis(500);
@@ -35,15 +35,16 @@
 /// Cost added to targets of other failure domains, as a share of their slots: traffic between
 /// domains costs more than a short wait.
 const REMOTE_DOMAIN_COST: f64 = 0.34;
-/// Weight of the load relative to the unit time for requests that prefer a fast target: a full
-/// batch slows its requests down by less than the engines of one service differ in speed.
+/// Weight of the load relative to the unit time for requests that prefer a fast target. Small,
+/// because a full batch slows its requests down by less than the engines of one service differ in
+/// speed.
 const FAST_LOAD_WEIGHT: f64 = 0.1;
 
 /// Cost added in large services to targets without an idle connection. It is less than the cost
 /// of one running request. Targets of small services usually have a connection open.
 const CONNECT_COST: f64 = 0.1;
 
-/// The targets known to this box, with their load, failures and backoff.
+/// The listed targets, with their load, failures and backoff as seen by this box.
 #[derive(Debug)]
 pub struct TargetTable {
     domain: DomainId,
@@ -103,8 +104,8 @@
         &self.evacuated
     }
 
-    /// Counter that changes when a target is added, removed or starts leaving, or an evacuation
-    /// starts or ends.
+    /// Counter that changes when a target is added or removed, when its announcement of a shutdown
+    /// changes, and when an evacuation starts or ends.
     pub const fn generation(&self) -> u64 {
         self.generation
     }
@@ -180,9 +181,10 @@
 
     /// Chooses a target and counts the request as in flight; the caller must call [`Self::ended`].
     ///
-    /// Picks the target with the lowest (requests + 1) * unit time / slots, with random
-    /// tie-breaking. Backed-off targets are chosen only if no other target fits. In large services
-    /// only a sample of the targets is compared.
+    /// Picks the target with the lowest cost, with random tie-breaking: (requests + 1) * unit time /
+    /// slots, plus a cost for another domain or a new connection. Requests that prefer a fast target
+    /// weigh its unit time higher. Backed-off targets are chosen only if no other target fits. In
+    /// large services only a sample of the targets is compared.
     pub fn choose(
         &mut self,
         now: Moment,
@@ -287,8 +289,8 @@
         load_ratio * slowness + domain_cost
     }
 
-    /// Whether a request running at `instance` should move: another target that fits has a free
-    /// slot and needs less than `unit_time` per unit of work.
+    /// Whether a request running at `instance` should move: another target fits, is not backed off
+    /// and needs less than `unit_time` per unit of work.
     pub fn has_faster(
         &self,
         now: Moment,
