--- a/crates/bench/src/suspects.rs
+++ b/crates/bench/src/suspects.rs
@@ -27,7 +27,7 @@
         };
         for work in 0..WORKS {
             let end = TargetCrash { life: life.clone(), software: "v1".parse().ok() };
-            book.record_break(at, work_digest(work), &service, end);
+            book.record_disconnect(at, work_digest(work), &service, end);
         }
         book.connection_refused(at, &life);
     }
--- a/crates/node/src/disconnects.rs
+++ b/crates/node/src/disconnects.rs
@@ -18,7 +18,7 @@
     }
     let incarnation = slot.incarnation();
     let crash = TargetCrash { life: incarnation.clone(), software: slot.software.clone() };
-    if view.suspects().record_break(view.now(), work, &slot.service, crash) {
+    if view.suspects().record_disconnect(view.now(), work, &slot.service, crash) {
         tokio::spawn(probe_target(Arc::clone(view), slot.clone(), incarnation, work));
     }
 }
--- a/crates/suspects/src/table.rs
+++ b/crates/suspects/src/table.rs
@@ -11,14 +11,14 @@
 /// Number of crashes from which work runs only at targets without other suspects. Otherwise several
 /// poison requests that arrive together would put their neighbors in quarantine too.
 const ISOLATION_CRASHES: usize = QUARANTINE_CRASHES - 1;
-/// Maximum number of tracked work digests, about 400 bytes each. Beyond it, the entry with the
-/// fewest and oldest crashes is evicted.
+/// Maximum number of tracked work digests. Beyond it, the entry with the fewest and oldest crashes
+/// is evicted.
 const MAX_SUSPECTS: usize = 512;
 /// Maximum number of unresolved disconnects per work digest.
-const MAX_BREAKS: usize = 16;
+const MAX_DISCONNECTS: usize = 16;
 /// How long a disconnect waits for confirmation of a crash. The list entry of a crashed target
 /// expires after about 4 s.
-const BREAK_TTL: Duration = Duration::from_secs(6);
+const DISCONNECT_TTL: Duration = Duration::from_secs(6);
 /// An incarnation that is still listed this long after it refused a connection has not crashed: its
 /// entry would have expired.
 const REFUSAL_TIMEOUT: Duration = Duration::from_secs(6);
@@ -26,9 +26,9 @@
 const SUSPECT_TTL: Duration = Duration::from_mins(10);
 /// How long crashes are kept for work at or above the quarantine threshold.
 const QUARANTINE_TTL: Duration = Duration::from_hours(24);
-/// Delays after the last crash or trial before quarantined work may run once, in case the cause
-/// (such as an unavailable dependency) is gone. Limited to three, since each trial may crash a
-/// target.
+/// Delays after the last crash or trial before quarantined work may run once more, in case the
+/// cause (such as an unavailable dependency) is gone. The number of trials is limited, since each
+/// may crash a target.
 const TRIAL_DELAYS: [Duration; 3] =
     [Duration::from_mins(3), Duration::from_mins(10), Duration::from_mins(45)];
 /// Extra delay before a storage box clears records that other boxes published. Boxes that only drop
@@ -90,7 +90,7 @@
     local_crashes: Vec<TargetCrash>,
     stored_crashes: Vec<TargetCrash>,
     /// Disconnects whose target may have crashed.
-    breaks: Vec<(TargetCrash, Moment)>,
+    disconnects: Vec<(TargetCrash, Moment)>,
     /// Time of the last crash, and when the quarantine threshold was reached.
     last_crash_at: Moment,
     threshold_at: Option<Moment>,
@@ -112,7 +112,7 @@
             service,
             local_crashes: Vec::new(),
             stored_crashes: Vec::new(),
-            breaks: Vec::new(),
+            disconnects: Vec::new(),
             last_crash_at: now,
             threshold_at: None,
             settled: false,
@@ -134,7 +134,7 @@
     /// Incarnations that crashed, or may have crashed, while running this work.
     fn incarnations(&self) -> impl Iterator<Item = &TargetIncarnation> {
         let crashes = self.local_crashes.iter().chain(&self.stored_crashes);
-        crashes.chain(self.breaks.iter().map(|(crash, _)| crash)).map(|crash| &crash.life)
+        crashes.chain(self.disconnects.iter().map(|(crash, _)| crash)).map(|crash| &crash.life)
     }
 
     fn has_crash_of(&self, incarnation: &TargetIncarnation) -> bool {
@@ -186,8 +186,8 @@
         if self.count() >= QUARANTINE_CRASHES { QUARANTINE_TTL } else { SUSPECT_TTL }
     }
 
-    /// Whether the record should be published: after a second crash, or after the first if the
-    /// caller may retry at any box.
+    /// Whether the record should be published: after a second crash, after the first if the caller
+    /// may retry at any box, or to request a trial.
     fn needs_publish(&self) -> bool {
         let count = self.count().min(MAX_CRASHES);
         let worth_publishing = count >= 2 || (count == 1 && self.caller_unanswered);
@@ -228,9 +228,10 @@
         self.suspects.get(&work).map_or(0, Suspect::count)
     }
 
-    /// Records that a target disconnected while it ran `work`. Returns `true` if the caller should
-    /// probe the incarnation, because no earlier disconnect involves it.
-    pub fn record_break(
+    /// Records that a target disconnected while it ran `work`; `crash` describes the crash that this
+    /// may turn out to be. Returns `true` if the incarnation should be probed, because no earlier
+    /// disconnect involves it.
+    pub fn record_disconnect(
         &mut self,
         now: Moment,
         work: WorkDigest,
@@ -244,8 +245,8 @@
         self.evict_if_full(&work);
         let suspect =
             self.suspects.entry(work).or_insert_with(|| Suspect::new(now, service.clone()));
-        if !involves(suspect) && suspect.breaks.len() < MAX_BREAKS {
-            suspect.breaks.push((crash, now));
+        if !involves(suspect) && suspect.disconnects.len() < MAX_DISCONNECTS {
+            suspect.disconnects.push((crash, now));
         }
         if self.refused.contains_key(&incarnation) {
             self.confirm_crash(now, &incarnation);
@@ -261,8 +262,8 @@
 
     /// Records that an instance is no longer listed, or that another incarnation replaced it.
     pub fn instance_gone(&mut self, now: Moment, instance: &InstanceId) {
-        let incarnations = self.suspects.values().flat_map(|suspect| &suspect.breaks);
-        let gone = incarnations
+        let disconnects = self.suspects.values().flat_map(|suspect| &suspect.disconnects);
+        let gone = disconnects
             .map(|(crash, _)| &crash.life)
             .filter(|incarnation| incarnation.instance == *instance);
         let gone: HashSet<TargetIncarnation> = gone.cloned().collect();
@@ -273,11 +274,12 @@
 
     fn confirm_crash(&mut self, now: Moment, incarnation: &TargetIncarnation) {
         for suspect in self.suspects.values_mut() {
-            let Some(at) = suspect.breaks.iter().position(|(crash, _)| crash.life == *incarnation)
+            let Some(at) =
+                suspect.disconnects.iter().position(|(crash, _)| crash.life == *incarnation)
             else {
                 continue;
             };
-            let (crash, _) = suspect.breaks.swap_remove(at);
+            let (crash, _) = suspect.disconnects.swap_remove(at);
             if suspect.local_crashes.len() < MAX_CRASHES {
                 suspect.local_crashes.push(crash);
                 suspect.crash_added(now);
@@ -295,13 +297,13 @@
     pub fn clear_incarnation(&mut self, incarnation: &TargetIncarnation) {
         for suspect in self.suspects.values_mut() {
             let before = suspect.count();
-            suspect.breaks.retain(|(crash, _)| crash.life != *incarnation);
+            suspect.disconnects.retain(|(crash, _)| crash.life != *incarnation);
             suspect.local_crashes.retain(|crash| crash.life != *incarnation);
             suspect.stored_crashes.retain(|crash| crash.life != *incarnation);
             if suspect.count() < before
                 && let Some(stored) = &mut suspect.stored
             {
-                // Causes the record to be published again without this crash.
+                // Makes the remaining crashes count as unpublished.
                 stored.crashes = 0;
             }
         }
@@ -367,7 +369,7 @@
         }
     }
 
-    /// Returns whether quarantined work may run once as a trial. Requests a trial if one is due; it
+    /// Whether this box may run quarantined work once as a trial. Requests a trial if one is due; it
     /// is granted to the box whose write the store confirms.
     pub fn request_trial(&mut self, now: Moment, work: WorkDigest) -> bool {
         let Some(suspect) = self.suspects.get_mut(&work) else { return false };
@@ -503,8 +505,8 @@
     pub fn expire(&mut self, now: Moment, clears_others: bool) {
         let mut expired = Vec::new();
         for (work, suspect) in &mut self.suspects {
-            suspect.breaks.retain(|(_, at)| now.since(*at) < BREAK_TTL);
-            let idle = suspect.breaks.is_empty() && suspect.running_at.is_empty();
+            suspect.disconnects.retain(|(_, at)| now.since(*at) < DISCONNECT_TTL);
+            let idle = suspect.disconnects.is_empty() && suspect.running_at.is_empty();
             if suspect.count() == 0 && suspect.stored.is_none() {
                 if idle {
                     expired.push((*work, None));
--- a/crates/suspects/src/verdict.rs
+++ b/crates/suspects/src/verdict.rs
@@ -12,11 +12,11 @@
 /// Number of crashes that quarantines work regardless of other explanations. Without this bound,
 /// two poison requests that always run together would explain each other's crashes indefinitely.
 pub const UNCONDITIONAL_QUARANTINE_CRASHES: usize = 6;
-/// Minimum number of crashes that no other work explains. A single one may be unrelated to the
+/// Minimum number of the crashes that no other work explains. A single one may be unrelated to the
 /// work.
 pub(crate) const UNEXPLAINED_CRASHES: usize = 2;
-/// Delay between the last required crash and the quarantine, longer than other boxes need to report
-/// work that explains the crashes better.
+/// Delay between the crash that reaches the threshold and the quarantine, longer than other boxes
+/// need to report work that explains the crashes better.
 pub(crate) const SETTLE_WINDOW: Duration = Duration::from_millis(500);
 
 /// Returns the software versions at whose targets the work must not run. `explains` returns whether
--- a/crates/suspects/tests/property.rs
+++ b/crates/suspects/tests/property.rs
@@ -1,4 +1,4 @@
-//! Property tests: poison and innocent work share targets in random order.
+//! Property tests of quarantine: poison and innocent work share targets in random order.
 
 use arbtest::{arbitrary, arbtest};
 use ids::{Moment, ServiceName, StartTime, TargetIncarnation, WorkDigest};
@@ -46,7 +46,7 @@
         }
         for work in &running {
             if crashes {
-                table.record_break(
+                table.record_disconnect(
                     now,
                     *work,
                     &service(),
--- a/crates/suspects/tests/table.rs
+++ b/crates/suspects/tests/table.rs
@@ -45,7 +45,7 @@
 /// Crashes a target that runs all of `works`.
 fn crash_under(table: &mut SuspectTable, now: Moment, number: usize, works: &[&str]) {
     for name in works {
-        table.record_break(now, work(name), &service(), crash_of(number));
+        table.record_disconnect(now, work(name), &service(), crash_of(number));
     }
     table.connection_refused(now, &incarnation(number));
 }
@@ -82,7 +82,7 @@
     }
     assert_eq!(table.crash_count(work("a")), 1);
     let later = TargetIncarnation { born: StartTime::new(7), ..incarnation(1) };
-    table.record_break(
+    table.record_disconnect(
         at(2),
         work("a"),
         &service(),
@@ -96,9 +96,12 @@
 fn closed_connection_is_not_a_crash() {
     let mut table = SuspectTable::default();
     for number in 0..9 {
-        assert!(table.record_break(at(1), work("a"), &service(), crash_of(number)), "to be probed");
         assert!(
-            !table.record_break(at(1), work("b"), &service(), crash_of(number)),
+            table.record_disconnect(at(1), work("a"), &service(), crash_of(number)),
+            "to be probed"
+        );
+        assert!(
+            !table.record_disconnect(at(1), work("b"), &service(), crash_of(number)),
             "already probed"
         );
     }
@@ -112,7 +115,7 @@
     let mut table = SuspectTable::default();
     for number in 0..QUARANTINE_CRASHES {
         // The next incarnation already accepted connections when the target was probed.
-        table.record_break(at(1), work("a"), &service(), crash_of(number));
+        table.record_disconnect(at(1), work("a"), &service(), crash_of(number));
         table.instance_gone(at(3), &instance(number));
     }
     assert!(is_quarantined(&table, at(3), "a"));
@@ -281,7 +284,7 @@
     }
     assert_eq!(table.quarantined_versions(at(3), work("a"), &service()), [Some(software("v1"))]);
     let next = TargetCrash { life: incarnation(9), software: Some(software("v2")) };
-    table.record_break(at(4), work("a"), &service(), next);
+    table.record_disconnect(at(4), work("a"), &service(), next);
     table.connection_refused(at(4), &incarnation(9));
     let quarantined = table.quarantined_versions(at(4), work("a"), &service());
     assert_eq!(
@@ -358,22 +361,22 @@
     assert!(table.due_writes().is_empty(), "more crashes change nothing");
 }
 
-/// A service that closes all connections while its targets are alive must not grow an entry without
-/// bound.
+/// Guards against entries that grow without bound while a service's targets close all connections
+/// but do not crash.
 #[test]
-fn unresolved_breaks_are_bounded() {
-    const MAX_BREAKS: usize = 16;
+fn unresolved_disconnects_are_bounded() {
+    const MAX_DISCONNECTS: usize = 16;
     let mut table = SuspectTable::default();
-    for number in 0..=MAX_BREAKS {
-        table.record_break(at(1), work("a"), &service(), crash_of(number));
+    for number in 0..=MAX_DISCONNECTS {
+        table.record_disconnect(at(1), work("a"), &service(), crash_of(number));
     }
-    table.connection_refused(at(2), &incarnation(MAX_BREAKS));
+    table.connection_refused(at(2), &incarnation(MAX_DISCONNECTS));
     assert_eq!(table.crash_count(work("a")), 0, "beyond the limit");
     table.connection_refused(at(2), &incarnation(0));
     assert_eq!(table.crash_count(work("a")), 1);
-    // A resolved break makes room for another one.
-    table.record_break(at(3), work("a"), &service(), crash_of(MAX_BREAKS + 1));
-    table.connection_refused(at(3), &incarnation(MAX_BREAKS + 1));
+    // A resolved disconnect makes room for another one.
+    table.record_disconnect(at(3), work("a"), &service(), crash_of(MAX_DISCONNECTS + 1));
+    table.connection_refused(at(3), &incarnation(MAX_DISCONNECTS + 1));
     assert_eq!(table.crash_count(work("a")), 2);
 }
 
--- a/crates/xtask/src/mutate.rs
+++ b/crates/xtask/src/mutate.rs
@@ -332,10 +332,10 @@
     Mutation {
         name: "suspects: breaks that wait for word are not bounded",
         file: "crates/suspects/src/table.rs",
-        from: "!involves(suspect) && suspect.breaks.len() < MAX_BREAKS",
-        to: "!involves(suspect) && suspect.breaks.len() < usize::MAX",
+        from: "!involves(suspect) && suspect.disconnects.len() < MAX_DISCONNECTS",
+        to: "!involves(suspect) && suspect.disconnects.len() < usize::MAX",
         package: "suspects",
-        test: "unresolved_breaks_are_bounded",
+        test: "unresolved_disconnects_are_bounded",
     },
     Mutation {
         name: "replicas: a store that is away lists a shortage",
