--- a/crates/front/src/stream.rs
+++ b/crates/front/src/stream.rs
@@ -51,7 +51,7 @@
             TargetChoice::None => break,
             TargetChoice::Quarantined => return quarantined(view, route, &id, work),
         };
-        let target = slot.slot();
+        let target = slot.target();
         let mut request = Request::new(Full::new(body.clone()));
         *request.method_mut() = head.method.clone();
         *request.uri_mut() = head.uri.clone();
@@ -150,8 +150,8 @@
             StreamEnd::Complete => view.suspects().succeeded(work),
             StreamEnd::CallerDisconnected => {}
             StreamEnd::Broken => {
-                record_failure(&view, slot.slot(), TargetFailure::Broken);
-                record_disconnect(&view, slot.slot(), work);
+                record_failure(&view, slot.target(), TargetFailure::Broken);
+                record_disconnect(&view, slot.target(), work);
                 view.suspects().caller_unanswered(work);
                 view.suspects_changed();
             }
--- a/crates/node/src/assignments.rs
+++ b/crates/node/src/assignments.rs
@@ -1,5 +1,5 @@
-//! Storage boxes and the servers of each shard, as the store lists them. The cluster state
-//! also holds the records of suspected work.
+//! The cluster state in the store: the storage boxes, the number of shards and the plan of each
+//! shard. [`AssignmentSink`] also applies the records of suspected work, which are stored with it.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -55,7 +55,7 @@
         self.boxes.values()
     }
 
-    /// Storage boxes that are active. The others stand by and take no part.
+    /// Storage boxes that are active. The others are on standby.
     pub fn active_boxes(&self) -> Vec<&StorageBox> {
         active_boxes(self.boxes(), |storage_box| self.has_assignment(&storage_box.box_id))
     }
@@ -80,7 +80,7 @@
         self.plans.keys().max().copied()
     }
 
-    /// Whether a listing has been applied, so that a missing plan does not exist.
+    /// Whether a listing has been applied. If so, a plan that is missing here does not exist.
     pub const fn is_read(&self) -> bool {
         self.is_listed
     }
--- a/crates/node/src/choice.rs
+++ b/crates/node/src/choice.rs
@@ -1,4 +1,4 @@
-//! Chooses a target for a request, with regard to suspicions about its work.
+//! Chooses a target for a request. Keeps suspected work apart and rejects quarantined work.
 
 use std::sync::Arc;
 
@@ -26,7 +26,7 @@
 pub enum TargetChoice {
     /// This target, with a slot acquired.
     Target(SlotGuard),
-    /// No target has capacity now.
+    /// No target is available now.
     None,
     /// The work is quarantined because it crashes targets.
     Quarantined,
@@ -52,18 +52,19 @@
         let target_requirements = TargetRequirements { avoid, ..TargetRequirements::default() };
         targets.choose(now, service, &target_requirements, &mut rng)
     };
-    // Prefers targets without other suspected work, then untried ones, then tried ones.
+    // Prefers untried targets without other suspected work, then other untried ones, then tried
+    // ones.
     let excluded_or_suspect = [&excluded, anti_affinity.targets.as_slice()].concat();
-    let mut slot = choose(&[requirements.tried, &excluded_or_suspect].concat());
+    let mut chosen = choose(&[requirements.tried, &excluded_or_suspect].concat());
     if !anti_affinity.required {
-        slot = slot.or_else(|| choose(&[requirements.tried, &excluded].concat()));
+        chosen = chosen.or_else(|| choose(&[requirements.tried, &excluded].concat()));
     }
     if requirements.allow_tried {
         let avoid = if anti_affinity.required { &excluded_or_suspect } else { &excluded };
-        slot = slot.or_else(|| choose(avoid));
+        chosen = chosen.or_else(|| choose(avoid));
     }
     drop(targets);
-    slot.map_or(TargetChoice::None, |slot| {
-        TargetChoice::Target(SlotGuard::new(view, requirements.work, slot))
+    chosen.map_or(TargetChoice::None, |target| {
+        TargetChoice::Target(SlotGuard::new(view, requirements.work, target))
     })
 }
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -52,8 +52,7 @@
     }
 }
 
-/// Time since the machine started, suspensions included. Read once, because readings of two clocks
-/// could differ by a scheduler delay.
+/// Time since the machine started, suspensions included.
 fn machine_time() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or(0);
--- a/crates/node/src/disconnects.rs
+++ b/crates/node/src/disconnects.rs
@@ -11,26 +11,26 @@
 
 /// Records that a target disconnected during `work`. Unless already checked, probes in the
 /// background whether the target has crashed; the caller's retry does not wait for it.
-pub fn record_disconnect(view: &Arc<NodeView>, slot: &ChosenTarget, work: WorkDigest) {
-    // A target that is leaving or has expired stops for a reason of its own.
-    if !view.target_table().stays(&slot.instance) {
+pub fn record_disconnect(view: &Arc<NodeView>, target: &ChosenTarget, work: WorkDigest) {
+    // A target that is leaving or no longer listed is assumed to stop for another reason.
+    if !view.target_table().stays(&target.instance) {
         return;
     }
-    let incarnation = slot.incarnation();
-    let crash = TargetCrash { life: incarnation.clone(), software: slot.software.clone() };
-    if view.suspects().record_disconnect(view.now(), work, &slot.service, crash) {
-        tokio::spawn(probe_target(Arc::clone(view), slot.clone(), incarnation, work));
+    let incarnation = target.incarnation();
+    let crash = TargetCrash { life: incarnation.clone(), software: target.software.clone() };
+    if view.suspects().record_disconnect(view.now(), work, &target.service, crash) {
+        tokio::spawn(probe_target(Arc::clone(view), target.clone(), incarnation, work));
     }
 }
 
 /// Probes whether the target's port is still open.
 async fn probe_target(
     view: Arc<NodeView>,
-    slot: ChosenTarget,
+    target: ChosenTarget,
     incarnation: TargetIncarnation,
     work: WorkDigest,
 ) {
-    let state = view.pool.probe(slot.address).await;
+    let state = view.pool.probe(target.address).await;
     let outcome = match state {
         PortState::Refuses => "ended",
         PortState::Listens => "listens",
@@ -43,7 +43,7 @@
     }
     let crashes = view.suspects().crash_count(work);
     log::info!(
-        target: "targets", work:% = work, target:% = incarnation, service:% = slot.service, ends = crashes,
+        target: "targets", work:% = work, target:% = incarnation, service:% = target.service, ends = crashes,
         outcome = outcome;
         "target probed"
     );
--- a/crates/node/src/feed/client.rs
+++ b/crates/node/src/feed/client.rs
@@ -34,8 +34,8 @@
 /// Interval of checks for a source while the domain has none.
 const SOURCE_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// How long a starting box looks for a source before it reports that there is none. All boxes of a
-/// deployment may start at once.
+/// How long a starting box looks for a source before it reports that there is none. If all boxes of
+/// a deployment start at once, the source is not listed yet.
 const SOURCE_DISCOVERY_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The services whose targets were received; `None` for all.
@@ -172,6 +172,8 @@
         found.map(|candidate| (*candidate).clone()).collect()
     }
 
+    /// Polls a source. Returns its page and, once the targets of all wanted services have been
+    /// received, these services.
     async fn poll_source(
         &self,
         source: &StorageBox,
--- a/crates/node/src/feed/mod.rs
+++ b/crates/node/src/feed/mod.rs
@@ -71,6 +71,7 @@
     /// State of the feed that serves this box.
     freshness: FeedFreshness,
     times: FeedTimes,
+    /// Counts changes of `caches`, to wake waiting feed requests.
     changed: watch::Sender<u64>,
     /// Whether this box serves no feed.
     receive_only: AtomicBool,
@@ -141,7 +142,7 @@
         self.service_requests.subscribe()
     }
 
-    /// Applies a listing from the store.
+    /// Caches a listing of a kind for the boxes that this one serves.
     pub fn listed(&self, kind: Kind, listing: &Listing) {
         if self.is_receive_only() {
             return;
@@ -150,7 +151,7 @@
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Applies changes of a kind.
+    /// Caches changes of a kind for the boxes that this one serves.
     pub fn changed(&self, kind: Kind, changes: &Changes) {
         if self.is_receive_only() {
             return;
--- a/crates/node/src/feed/serve.rs
+++ b/crates/node/src/feed/serve.rs
@@ -11,7 +11,7 @@
 
 /// Responds to a feed request as soon as there are changes or when its wait is over. Responds at
 /// once if this box has no recent confirmation of the store; its cached updates are sent all the
-/// same, since they may be newer than what the caller has.
+/// same, since they may be newer than what the follower has.
 pub async fn serve_feed(view: &NodeView, read: &FeedRead) -> FeedPage {
     let received_at = Instant::now();
     view.usage.merge(&read.usage);
@@ -54,7 +54,7 @@
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
-/// Collects the changes since the cursors. With `at_deadline`, a caller that receives only some
+/// Collects the changes since the cursors. With `at_deadline`, a follower that receives only some
 /// targets also gets the current revision of all targets, so that it need not repeat old cursors.
 fn collect_updates(view: &NodeView, read: &FeedRead, at_deadline: bool) -> Vec<FeedKind> {
     let caches = view.feed.caches();
--- a/crates/node/src/feed/times.rs
+++ b/crates/node/src/feed/times.rs
@@ -4,7 +4,7 @@
 
 use platform::WatchTime;
 
-/// Share of the bound reserved for the store's response to arrive.
+/// Part of the bound that is reserved for the store's response to arrive.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(300);
 /// Margin by which a feed source stops waiting for updates before its proof expires.
 const SOURCE_MARGIN: Duration = Duration::from_millis(400);
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -40,7 +40,8 @@
 const FIRST_UPDATE_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long a watcher of a large kind waits for the feed when the store has compacted its history.
 const FEED_LISTING_TIMEOUT: Duration = Duration::from_secs(2);
-/// Delay after a stale first listing. By then all boxes of a starting deployment are present.
+/// Delay between a stale first listing and the next poll. By then all boxes of a starting deployment
+/// are listed.
 const STALE_LIST_DELAY: Duration = Duration::from_millis(300);
 
 /// How a watcher gets its first objects.
@@ -181,7 +182,7 @@
                     continue;
                 }
                 _ = served.changed(), if has_feed => {
-                    // The feed is lost: probe the store without delay.
+                    // If the feed was lost, the store is probed without delay.
                     watch_time = PROBE_WATCH;
                     continue;
                 }
@@ -339,8 +340,8 @@
     }
 }
 
-/// Waits until a call of another kind fails. Never resolves for the configuration, whose watcher
-/// probes for recovery.
+/// Waits until a store call of any kind has failed. Never resolves for the configuration, whose
+/// watcher probes for recovery.
 async fn wait_for_loss(view: &NodeView, kind: Kind) {
     if kind == Kind::Configuration {
         return std::future::pending().await;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,4 +1,4 @@
-//! Code shared by the two roles of a box on the platform.
+//! Code shared by the two roles of a box on the platform: entry boxes and storage boxes.
 //!
 //! [`NodeView`] is the box's state: the configuration in force, the targets, the named model
 //! versions, and whether the store responds. Watchers keep it up to date; the request path only
--- a/crates/node/src/logs.rs
+++ b/crates/node/src/logs.rs
@@ -112,6 +112,7 @@
         })
         .level(log::LevelFilter::Warn)
         .chain(output);
+    // All other sources, such as libraries, log only warnings and errors.
     let parts = ["config", "conductor", "entry", "jobs", "node", "shard", "targets"];
     let dispatch =
         parts.into_iter().fold(dispatch, |dispatch, part| dispatch.level_for(part, level));
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -198,7 +198,7 @@
         (total > 0).then(|| (total, entries.join(", ")))
     }
 
-    /// Sets the gauges of the shards served here.
+    /// Sets the gauges of the jobs of all shards served here.
     pub fn jobs(&self, held: usize, waiting: usize, bytes: usize) {
         let number = |count: usize| i64::try_from(count).unwrap_or(i64::MAX);
         self.jobs_held.set(number(held));
@@ -238,7 +238,7 @@
 /// per box and interval.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Connections are logged when open ones exceed the limit divided by this.
+/// Open connections are logged when they reach the limit divided by this.
 const CONNECTION_WARNING_DIVISOR: usize = 2;
 
 /// Logs store calls, if there were any, and the number of open connections to targets, if it is
--- a/crates/node/src/plain.rs
+++ b/crates/node/src/plain.rs
@@ -27,7 +27,7 @@
 const MIN_TRY_TIMEOUT: Duration = Duration::from_millis(300);
 /// Goal of routes without one.
 const DEFAULT_GOAL: Duration = Duration::from_millis(500);
-/// Pause before the next try when every target is full or there is none.
+/// Pause before the next try when no target is available.
 const NO_TARGET_PAUSE: Duration = Duration::from_millis(20);
 
 /// A plain request.
@@ -45,7 +45,7 @@
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
-    /// When the caller stops waiting or the route's timeout ends.
+    /// When the caller stops waiting or the route's timeout ends, whichever is first.
     pub deadline: Instant,
     /// Whether no caller waits for this call, so that it is repeated until it gets a response.
     pub is_background: bool,
@@ -150,8 +150,8 @@
             TargetChoice::Quarantined => break,
         };
         let is_last = run_count + 1 >= call.route.attempts || !repeatable;
-        let result = try_once(view, &call, work, slot.slot(), is_last).await;
-        tried.push(slot.slot().instance.clone());
+        let result = try_once(view, &call, work, slot.target(), is_last).await;
+        tried.push(slot.target().instance.clone());
         drop(slot);
         match result {
             TryResult::Answered(response) if response.status.is_success() || !repeatable => {
@@ -205,7 +205,7 @@
     view: &Arc<NodeView>,
     call: &PlainCall<'_>,
     work: WorkDigest,
-    slot: &ChosenTarget,
+    target: &ChosenTarget,
     is_last: bool,
 ) -> TryResult {
     let left = call.deadline.saturating_duration_since(Instant::now());
@@ -220,10 +220,10 @@
     *request.uri_mut() = call.uri.clone();
     *request.headers_mut() = call.headers.clone();
     headers::set_time_left(request.headers_mut(), left);
-    headers::set_instance(request.headers_mut(), &slot.instance);
+    headers::set_instance(request.headers_mut(), &target.instance);
     let (started, sent_at) = (Instant::now(), view.now());
     let sent = async {
-        let response = view.pool.send(slot.address, request).await?;
+        let response = view.pool.send(target.address, request).await?;
         response.read_full(MAX_RESPONSE_BYTES).await
     };
     let (outcome, result) = match time::timeout(limit, sent).await {
@@ -234,27 +234,27 @@
         Ok(Err(SendError::NotSent(_))) => (TryOutcome::NotSent, TryResult::NotRun),
         Ok(Err(SendError::LimitReached)) => (TryOutcome::NoRoom, TryResult::NotRun),
         Ok(Err(SendError::Broken(_))) => (TryOutcome::Broken, TryResult::Broken),
-        Ok(Ok(response)) => classify_response(view, call, slot, response),
+        Ok(Ok(response)) => classify_response(view, call, target, response),
     };
     if let Some(customer) = call.customer.as_ref().filter(|_| outcome.has_begun()) {
-        // The time spent queued at the target is unknown, usually a few milliseconds.
+        // Counted from the time of sending: the time spent queued at the target is unknown.
         view.usage.count(sent_at, customer);
     }
-    record_try(view, slot, &result, outcome, started.elapsed());
+    record_try(view, target, &result, outcome, started.elapsed());
     let status = match &result {
         TryResult::Answered(response) => response.status.as_u16(),
         _ => 0,
     };
     match outcome {
-        TryOutcome::Broken => record_disconnect(view, slot, work),
-        TryOutcome::OtherTarget => view.suspects().instance_gone(view.now(), &slot.instance),
-        // Any response shows that the target has not crashed.
+        TryOutcome::Broken => record_disconnect(view, target, work),
+        TryOutcome::OtherTarget => view.suspects().instance_gone(view.now(), &target.instance),
+        // The work did not crash the target, whatever the status of the response.
         TryOutcome::Answered => view.suspects().succeeded(work),
         _ => {}
     }
     if outcome != TryOutcome::Answered || status >= StatusCode::INTERNAL_SERVER_ERROR.as_u16() {
         log::info!(
-            target: "targets", request = call.request_id, work:% = work, target:% = slot.instance,
+            target: "targets", request = call.request_id, work:% = work, target:% = target.instance,
             outcome = outcome.as_str(), status = status, took_ms = whole_millis(started.elapsed()), left_ms = whole_millis(left);
             "try ended"
         );
@@ -266,22 +266,22 @@
 fn classify_response(
     view: &NodeView,
     call: &PlainCall<'_>,
-    slot: &ChosenTarget,
+    target: &ChosenTarget,
     response: FullResponse,
 ) -> (TryOutcome, TryResult) {
     let info = headers::response_info(&response.headers);
     if let Some(load) = info.load {
-        view.target_table().record_load(view.now(), &slot.instance, load);
+        view.target_table().record_load(view.now(), &target.instance, load);
     }
     if info.request_id.as_deref().is_some_and(|id| id != call.request_id) {
         return (TryOutcome::MismatchedResponse, TryResult::Broken);
     }
     if response.status == StatusCode::MISDIRECTED_REQUEST {
-        view.target_table().failed(view.now(), &slot.instance, TargetFailure::Gone);
+        view.target_table().failed(view.now(), &target.instance, TargetFailure::Gone);
         return (TryOutcome::OtherTarget, TryResult::NotRun);
     }
     if info.not_run {
-        view.target_table().failed(view.now(), &slot.instance, TargetFailure::Full);
+        view.target_table().failed(view.now(), &target.instance, TargetFailure::Full);
         return (TryOutcome::Full, TryResult::NotRun);
     }
     if response.status.is_success() && !is_signed(&info) {
@@ -296,7 +296,7 @@
 
 fn record_try(
     view: &NodeView,
-    slot: &ChosenTarget,
+    target: &ChosenTarget,
     result: &TryResult,
     outcome: TryOutcome,
     took: Duration,
@@ -305,14 +305,14 @@
     let mut targets = view.target_table();
     match result {
         TryResult::Answered(response) if response.status.is_success() => {
-            targets.succeeded(view.now(), &slot.instance);
-            targets.record_unit_time(&slot.instance, took);
+            targets.succeeded(view.now(), &target.instance);
+            targets.record_unit_time(&target.instance, took);
         }
         TryResult::NotRun if outcome == TryOutcome::NotSent => {
-            targets.failed(view.now(), &slot.instance, TargetFailure::Broken);
+            targets.failed(view.now(), &target.instance, TargetFailure::Broken);
         }
         // An error of the target, or a refusal that `classify_response` has recorded.
         TryResult::Answered(_) | TryResult::NotRun => {}
-        TryResult::Broken => targets.failed(view.now(), &slot.instance, TargetFailure::Broken),
+        TryResult::Broken => targets.failed(view.now(), &target.instance, TargetFailure::Broken),
     }
 }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -219,7 +219,7 @@
         let evacuate = read_number(&self.evacuate_ms, 0.0);
         if evacuate.is_none() {
             faults.push(format!(
-                "--evacuate-ms is `{}`: give milliseconds, or nothing where no domain is emptied",
+                "--evacuate-ms is `{}`: give milliseconds, or leave it empty if no domain is evacuated",
                 self.evacuate_ms
             ));
         }
@@ -271,7 +271,7 @@
         let window = read_seconds(&self.usage_window_s);
         if window.is_none() {
             faults.push(format!(
-                "--usage-window-s is `{}`: give seconds, or nothing where no reports are wanted",
+                "--usage-window-s is `{}`: give seconds, or leave it empty to disable reports",
                 self.usage_window_s
             ));
         }
@@ -317,7 +317,7 @@
         let node = self.node.check()?;
         let mut faults = Vec::new();
         if self.data_dir.as_os_str().is_empty() {
-            faults.push("--data-dir is empty: name a folder on the box's disk".to_owned());
+            faults.push("--data-dir is empty: name a directory on the box's disk".to_owned());
         }
         if !(self.retention_s.is_finite() && self.retention_s > 0.0) {
             faults.push(format!("--retention-s is {}: give seconds over 0", self.retention_s));
@@ -327,12 +327,15 @@
         }
         let accounts: Option<SocketAddr> = self.accounts.trim().parse().ok();
         if accounts.is_none() && !self.accounts.trim().is_empty() {
-            faults.push(format!("--accounts is `{}`: give IP:PORT, or nothing", self.accounts));
+            faults.push(format!(
+                "--accounts is `{}`: give IP:PORT, or leave it empty",
+                self.accounts
+            ));
         }
         let late = read_seconds(&self.usage_late_s);
         if late.is_none() {
             faults.push(format!(
-                "--usage-late-s is `{}`: give seconds, or nothing",
+                "--usage-late-s is `{}`: give seconds, or leave it empty",
                 self.usage_late_s
             ));
         }
--- a/crates/node/src/sinks.rs
+++ b/crates/node/src/sinks.rs
@@ -78,7 +78,7 @@
     }
 }
 
-/// Applies which failure domains are to be evacuated.
+/// Applies the list of failure domains to evacuate.
 #[derive(Debug)]
 pub struct EvacuationSink(pub Arc<NodeView>);
 
@@ -116,7 +116,7 @@
         match name.parse() {
             Ok(domain) => self.set(&domain, evacuated, revision),
             Err(error) => {
-                log::warn!(target: "targets", name = name.as_str(), error:% = error; "evacuation refused");
+                log::warn!(target: "targets", name = name.as_str(), error:% = error; "evacuation entry refused");
             }
         }
     }
@@ -145,15 +145,15 @@
     fn put(&self, stored: &Stored, summarized: bool) {
         match platform::targets::read_target(stored) {
             Ok(record) => {
-                let (known, born) = {
+                let (was_leaving, previous_born) = {
                     let targets = self.view.target_table();
                     let known = targets.record(&record.instance);
                     (known.map(|known| known.leaving), known.map(|known| known.born))
                 };
-                if born.is_some_and(|born| born != record.born) {
+                if previous_born.is_some_and(|born| born != record.born) {
                     self.view.suspects().instance_gone(self.view.now(), &record.instance);
                 }
-                if known != Some(record.leaving) && !summarized {
+                if was_leaving != Some(record.leaving) && !summarized {
                     log::info!(
                         target: "targets", target:% = record.instance, service:% = record.service,
                         leaving = record.leaving, revision = stored.revision;
@@ -317,7 +317,7 @@
             log::info!(target: "targets", changes = changes.len(), gone = removed.len(); "listed");
         }
         self.remove_after_grace(removed.into_iter().filter_map(|name| name.parse().ok()).collect());
-        // Closes idle connections and those to removed targets.
+        // Drops connections that have been idle for too long, such as those to removed targets.
         self.view.pool.sweep();
         self.view.wake();
     }
--- a/crates/node/src/slot.rs
+++ b/crates/node/src/slot.rs
@@ -1,4 +1,4 @@
-//! A slot at a target, held by one piece of work.
+//! A slot at a target, occupied by one piece of work.
 
 use std::sync::Arc;
 
@@ -12,30 +12,30 @@
 pub struct SlotGuard {
     view: Arc<NodeView>,
     work: WorkDigest,
-    slot: ChosenTarget,
+    target: ChosenTarget,
 }
 
 impl SlotGuard {
-    /// Takes ownership of a slot that the target table has counted.
-    pub fn new(view: &Arc<NodeView>, work: WorkDigest, slot: ChosenTarget) -> Self {
-        view.suspects().work_started(work, &slot.instance);
-        Self { view: Arc::clone(view), work, slot }
+    /// Guards the slot that the target table counted when it chose `target`.
+    pub fn new(view: &Arc<NodeView>, work: WorkDigest, target: ChosenTarget) -> Self {
+        view.suspects().work_started(work, &target.instance);
+        Self { view: Arc::clone(view), work, target }
     }
 
-    /// The work.
+    /// Digest of the work.
     pub const fn work(&self) -> WorkDigest {
         self.work
     }
 
     /// The target that runs the work.
-    pub const fn slot(&self) -> &ChosenTarget {
-        &self.slot
+    pub const fn target(&self) -> &ChosenTarget {
+        &self.target
     }
 }
 
 impl Drop for SlotGuard {
     fn drop(&mut self) {
-        self.view.target_table().ended(&self.slot.instance);
-        self.view.suspects().work_ended(self.work, &self.slot.instance);
+        self.view.target_table().ended(&self.target.instance);
+        self.view.suspects().work_ended(self.work, &self.target.instance);
     }
 }
--- a/crates/node/src/suspects.rs
+++ b/crates/node/src/suspects.rs
@@ -61,20 +61,20 @@
             return WorkAdmission::Open(Vec::new());
         }
         let targets = self.target_table();
-        let (excluded, free): (Vec<_>, Vec<_>) =
+        let (excluded, allowed): (Vec<_>, Vec<_>) =
             targets.of_service(service).partition(|record| quarantined.contains(&record.software));
-        if free.is_empty() {
+        if allowed.is_empty() {
             drop(targets);
             return self.request_trial(work);
         }
         WorkAdmission::Open(excluded.into_iter().map(|record| record.instance.clone()).collect())
     }
 
-    /// Admits quarantined work if a trial is due.
+    /// Admits quarantined work once if this box was granted a trial.
     fn request_trial(&self, work: WorkDigest) -> WorkAdmission {
-        let allowed = self.suspects().request_trial(self.now(), work);
+        let granted = self.suspects().request_trial(self.now(), work);
         self.suspects_changed();
-        if allowed { WorkAdmission::Open(Vec::new()) } else { WorkAdmission::Quarantined }
+        if granted { WorkAdmission::Open(Vec::new()) } else { WorkAdmission::Quarantined }
     }
 }
 
@@ -94,11 +94,13 @@
                 "work under suspicion"
             );
         }
-        (None, _) => log::warn!(target: "targets", name = stored.name.as_str(); "suspect refused"),
+        (None, _) => {
+            log::warn!(target: "targets", name = stored.name.as_str(); "suspect record refused");
+        }
         (Some(work), Err(error)) => {
-            // An unreadable record replaces the previous one of this name.
+            // The unreadable record has replaced the previous one of this name.
             view.suspects().apply_removal(work);
-            log::warn!(target: "targets", work:% = work, error:% = error; "suspect refused");
+            log::warn!(target: "targets", work:% = work, error:% = error; "suspect record refused");
         }
     }
     true
--- a/crates/node/src/usage.rs
+++ b/crates/node/src/usage.rs
@@ -43,10 +43,10 @@
 }
 
 impl UsageTracker {
-    /// Creates a tracker for a new incarnation of the box. It counts only if windows have a length.
+    /// Creates a tracker for a new incarnation of the box. Without a `length`, it counts nothing.
     pub fn new(box_id: BoxId, length: Option<WindowLength>) -> Self {
-        // A later incarnation has a larger number, unless the wall clock has stepped back by the
-        // time between them. Then its counts are merged with those of the earlier one.
+        // Unique unless the wall clock has stepped back to the millisecond at which an earlier
+        // incarnation started. Their counts would then be merged as if they were one source.
         let incarnation = Incarnation::new(wall_time().millis());
         Self {
             length,
@@ -67,7 +67,7 @@
         self.length
     }
 
-    /// Cluster time at a moment, past or present; the wall clock until one is available.
+    /// Cluster time at a moment, past or present; the current wall clock until it is known.
     pub fn time_at(&self, at: Moment) -> UnixTime {
         lock(&self.clock).now(at).unwrap_or_else(wall_time)
     }
@@ -77,7 +77,7 @@
         lock(&self.clock).is_anchored()
     }
 
-    /// Records the wall clock reading of a box, which may be this one.
+    /// Records a reading of the wall clock of `from`, which may be this box.
     pub fn record_peer_time(&self, now: Moment, from: &BoxId, time: UnixTime) {
         lock(&self.clock).observe(now, from, time);
     }
--- a/crates/node/tests/feed.rs
+++ b/crates/node/tests/feed.rs
@@ -90,7 +90,7 @@
     assert_eq!(update.removed, ["a"], "the listing implies the removal");
     assert_eq!(update.revision, 30);
     assert_eq!(cache.since(30), None);
-    // An empty or older state still gets a full update.
+    // A box without any objects still gets a full update.
     assert!(cache.since(0).expect("an update").full);
 }
 
--- a/crates/node/tests/probe.rs
+++ b/crates/node/tests/probe.rs
@@ -28,15 +28,16 @@
     let (with_source, alone) =
         (probe_during_outage(true, STALE_DELAY).0, probe_during_outage(false, STALE_DELAY).0);
     let (boxes, sources) = (295, 6);
-    let (before, now) = (boxes * alone, (boxes - sources) * with_source + sources * alone);
-    assert!(now * 20 <= before * 11, "{now} calls in place of {before}");
+    let (all_alone, with_sources) =
+        (boxes * alone, (boxes - sources) * with_source + sources * alone);
+    assert!(with_sources * 20 <= all_alone * 11, "{with_sources} calls instead of {all_alone}");
 }
 
 /// Guards against a feed source that detects the recovery too late for waiting trainers.
 #[test]
 fn feed_source_probes_about_once_per_second() {
-    for late in (0..1_000).step_by(50).map(Duration::from_millis) {
-        let (_, detected_at) = probe_during_outage(false, late);
+    for started_at in (0..1_000).step_by(50).map(Duration::from_millis) {
+        let (_, detected_at) = probe_during_outage(false, started_at);
         assert!(detected_at <= OUTAGE + Duration::from_millis(1_020), "{detected_at:?}");
     }
 }
@@ -44,8 +45,8 @@
 /// Guards against a box that relies on a stale feed source although the store serves it.
 #[test]
 fn box_with_feed_source_probes_in_time() {
-    for late in (0..1_000).step_by(50).map(Duration::from_millis) {
-        let (_, probed_at) = probe_during_outage(true, late);
+    for started_at in (0..1_000).step_by(50).map(Duration::from_millis) {
+        let (_, probed_at) = probe_during_outage(true, started_at);
         assert!(probed_at <= OUTAGE + Duration::from_millis(2_220), "{probed_at:?}");
     }
 }
--- a/crates/shards/src/dispatch.rs
+++ b/crates/shards/src/dispatch.rs
@@ -87,7 +87,7 @@
     keeper.jobs().start_ready(now, |spec| {
         let step = next_step(ctx, keeper.shard(), &spec)?;
         let target = match &step {
-            NextStep::Run(slot) => Some(slot.slot().instance.clone()),
+            NextStep::Run(slot) => Some(slot.target().instance.clone()),
             NextStep::Reward => None,
         };
         starts.push((spec, step));
--- a/crates/shards/src/run.rs
+++ b/crates/shards/src/run.rs
@@ -60,7 +60,7 @@
         ctx,
         keeper,
         spec,
-        slot: slot.slot(),
+        slot: slot.target(),
         work: slot.work(),
         model: spec.job.model.parse().ok(),
         version: None,
--- a/crates/xtask/src/mutate.rs
+++ b/crates/xtask/src/mutate.rs
@@ -732,7 +732,7 @@
     Mutation {
         name: "platform: a caller that leaves keeps its place at the target",
         file: "crates/node/src/slot.rs",
-        from: "        self.view.target_table().ended(&self.slot.instance);\n",
+        from: "        self.view.target_table().ended(&self.target.instance);\n",
         to: "",
         package: "platform-standin",
         test: "dropped_call_is_not_counted_in_flight",
