--- a/crates/bench/src/suspects.rs
+++ b/crates/bench/src/suspects.rs
@@ -27,7 +27,7 @@
         };
         for work in 0..WORKS {
             let crash = TargetCrash { life: incarnation.clone(), software: "v1".parse().ok() };
-            suspect_table.record_break(at, work_digest(work), &service, crash);
+            suspect_table.record_disconnect(at, work_digest(work), &service, crash);
         }
         suspect_table.connection_refused(at, &incarnation);
     }
--- a/crates/xtask/src/mutate.rs
+++ b/crates/xtask/src/mutate.rs
@@ -332,10 +332,10 @@
     Mutation {
         name: "suspects: unresolved disconnects are not bounded",
         file: "crates/suspects/src/table.rs",
-        from: "!involves(suspect) && suspect.breaks.len() < MAX_BREAKS",
-        to: "!involves(suspect) && suspect.breaks.len() < usize::MAX",
+        from: "!involves(suspect) && suspect.disconnects.len() < MAX_DISCONNECTS",
+        to: "!involves(suspect) && suspect.disconnects.len() < usize::MAX",
         package: "suspects",
-        test: "unresolved_breaks_are_bounded",
+        test: "unresolved_disconnects_are_bounded",
     },
     Mutation {
         name: "replicas: an outdated listing counts as a shortage",
@@ -732,7 +732,7 @@
     Mutation {
         name: "platform: a dropped call stays counted as in flight at its target",
         file: "crates/node/src/slot.rs",
-        from: "        self.view.target_table().ended(&self.slot.instance);\n",
+        from: "        self.view.target_table().ended(&self.target.instance);\n",
         to: "",
         package: "platform-standin",
         test: "dropped_call_is_not_counted_in_flight",
