--- a/crates/ledger/src/messages.rs
+++ b/crates/ledger/src/messages.rs
@@ -117,7 +117,8 @@
     pub running: usize,
     /// Number of slots without an engine.
     pub wanted: usize,
-    /// Number of samples discarded because they were too old or unusable.
+    /// Number of samples discarded because they were too old, unusable, or ahead of the named
+    /// version for too long.
     pub discarded: u64,
     /// Why the trainer waits.
     pub cause: WaitCause,
@@ -128,7 +129,7 @@
 pub enum Settled {
     /// Its sample is ready for the trainer.
     Kept,
-    /// The slot has been filled or assigned to another attempt.
+    /// The slot no longer runs this attempt.
     Superseded,
     /// Its sample was too old; the slot is assigned again.
     TooOld,
--- a/crates/ledger/tests/attribution.rs
+++ b/crates/ledger/tests/attribution.rs
@@ -16,11 +16,11 @@
 #[test]
 fn a_swap_in_mid_stream_records_both_versions() {
     let mut assembler = ChunkAssembler::default();
-    assembler.chunk(stamp(0, Some(1), 1), "ab").expect("a good chunk");
-    assembler.chunk(stamp(1, Some(2), 1), "cd").expect("a good chunk");
-    assembler.chunk(stamp(2, Some(2), 1), "ef").expect("a good chunk");
+    assembler.chunk(stamp(0, Some(1), 1), "ab").expect("valid chunk");
+    assembler.chunk(stamp(1, Some(2), 1), "cd").expect("valid chunk");
+    assembler.chunk(stamp(2, Some(2), 1), "ef").expect("valid chunk");
     let end = assembler.finish(TokenCount::new(24), ContentDigest::of(b"abcdef"));
-    let (spans, text) = end.expect("a complete response");
+    let (spans, text) = end.expect("complete response");
     let spans: Vec<(u64, u32)> =
         spans.iter().map(|span| (span.version.get(), span.tokens.get())).collect();
     assert_eq!((spans.as_slice(), text.as_str()), ([(1, 8), (2, 16)].as_slice(), "abcdef"));
@@ -37,7 +37,7 @@
 fn lost_duplicated_or_mixed_chunks_make_the_response_unusable() {
     for (index, incarnation) in [(2, 1), (0, 1), (1, 2)] {
         let mut assembler = ChunkAssembler::default();
-        assembler.chunk(stamp(0, Some(1), 1), "ab").expect("a good chunk");
+        assembler.chunk(stamp(0, Some(1), 1), "ab").expect("valid chunk");
         assert!(
             assembler.chunk(stamp(index, Some(1), incarnation), "cd").is_err(),
             "{index} {incarnation}"
@@ -49,7 +49,7 @@
 fn a_mismatched_end_is_refused() {
     for (tokens, text) in [(16, "ab"), (8, "ac"), (0, "")] {
         let mut assembler = ChunkAssembler::default();
-        assembler.chunk(stamp(0, Some(1), 1), "ab").expect("a good chunk");
+        assembler.chunk(stamp(0, Some(1), 1), "ab").expect("valid chunk");
         let end = assembler.finish(TokenCount::new(tokens), ContentDigest::of(text.as_bytes()));
         assert!(matches!(end, Err(ChunkError::EndMismatch { .. })), "{tokens} {text}");
     }
@@ -81,9 +81,10 @@
                 }
             }
             let mut assembler = ChunkAssembler::default();
-            let taken = received.iter().try_for_each(|(stamp, text)| assembler.chunk(*stamp, text));
-            let end =
-                taken.and_then(|()| assembler.finish(TokenCount::new(8 * count), digest.digest()));
+            let chunks_added =
+                received.iter().try_for_each(|(stamp, text)| assembler.chunk(*stamp, text));
+            let end = chunks_added
+                .and_then(|()| assembler.finish(TokenCount::new(8 * count), digest.digest()));
             if let Ok((_, text)) = end {
                 let expected: String = sent.iter().map(|(_, text)| text.as_str()).collect();
                 assert_eq!(text, expected);
--- a/crates/ledger/tests/delivery.rs
+++ b/crates/ledger/tests/delivery.rs
@@ -28,7 +28,7 @@
 }
 
 fn open(version: u64) -> StepLedger {
-    StepLedger::open(spec(version), TOKEN, rule(1, version)).expect("a good spec")
+    StepLedger::open(spec(version), TOKEN, rule(1, version)).expect("valid spec")
 }
 
 fn sample(slot: SlotIndex, versions: &[u64], text: &str) -> Sample {
@@ -56,8 +56,8 @@
         ledger.finished(assignment.attempt, sample(assignment.slot, &[1], "a")),
         Settled::Kept
     );
-    let first = ledger.pull(&pull(&SlotSet::default(), TOKEN)).expect("a pull");
-    let again = ledger.pull(&pull(&SlotSet::default(), TOKEN)).expect("a pull");
+    let first = ledger.pull(&pull(&SlotSet::default(), TOKEN)).expect("pull succeeds");
+    let again = ledger.pull(&pull(&SlotSet::default(), TOKEN)).expect("pull succeeds");
     assert_eq!(first.samples, again.samples);
     assert!(Arc::ptr_eq(&first.samples[0], &again.samples[0]));
 }
@@ -66,7 +66,7 @@
 fn a_held_slot_is_not_assigned_again() {
     let mut ledger = open(1);
     let held: SlotSet = (0..8).map(SlotIndex::new).collect();
-    ledger.pull(&pull(&held, TOKEN)).expect("a pull");
+    ledger.pull(&pull(&held, TOKEN)).expect("pull succeeds");
     assert_eq!(ledger.assign(), None);
     assert!(ledger.is_complete());
 }
@@ -128,7 +128,7 @@
     let assignment = next(&mut ledger);
     ledger.finished(assignment.attempt, sample(assignment.slot, &[1], "a"));
     ledger.set_pool_rule(rule(2, 3));
-    let batch = ledger.pull(&pull(&SlotSet::default(), TOKEN)).expect("a pull");
+    let batch = ledger.pull(&pull(&SlotSet::default(), TOKEN)).expect("pull succeeds");
     assert!(batch.samples.is_empty());
     assert_eq!(next(&mut ledger).slot, assignment.slot);
 }
@@ -139,9 +139,9 @@
     let assignment = next(&mut ledger);
     ledger.finished(assignment.attempt, sample(assignment.slot, &[1, 2], "a"));
     let held = SlotSet::default();
-    assert!(ledger.pull(&pull(&held, TOKEN)).expect("a pull").samples.is_empty());
+    assert!(ledger.pull(&pull(&held, TOKEN)).expect("pull succeeds").samples.is_empty());
     ledger.set_pool_rule(rule(2, 2));
-    assert_eq!(ledger.pull(&pull(&held, TOKEN)).expect("a pull").samples.len(), 1);
+    assert_eq!(ledger.pull(&pull(&held, TOKEN)).expect("pull succeeds").samples.len(), 1);
 }
 
 #[test]
@@ -161,10 +161,10 @@
     ledger.finished(first.attempt, sample(first.slot, &[1], "a"));
     ledger.finished(second.attempt, sample(second.slot, &[1], "b"));
     let held: SlotSet = [first.slot].into_iter().collect();
-    ledger.pull(&pull(&held, TOKEN)).expect("a pull");
+    ledger.pull(&pull(&held, TOKEN)).expect("pull succeeds");
     let resumed = StepLedger::resume(ledger.snapshot(), TOKEN.next(), rule(1, 1));
-    let mut resumed = resumed.expect("a good snapshot");
-    let batch = resumed.pull(&pull(&held, TOKEN.next())).expect("a pull");
+    let mut resumed = resumed.expect("valid snapshot");
+    let batch = resumed.pull(&pull(&held, TOKEN.next())).expect("pull succeeds");
     assert_eq!(batch.samples.iter().map(|s| s.text.as_str()).collect::<Vec<_>>(), ["b"]);
     let assigned: Vec<SlotIndex> =
         std::iter::from_fn(|| resumed.assign()).map(|w| w.slot).collect();
@@ -178,11 +178,11 @@
     let mut receiver = StepReceiver::new(spec(2));
     let slot = SlotIndex::new(0);
     let accepted = receiver.accept(TOKEN, rule(1, 2), vec![sample(slot, &[2], "a")]);
-    assert_eq!(accepted.expect("a good token").accepted.len(), 1);
+    assert_eq!(accepted.expect("token is accepted").accepted.len(), 1);
     let again = receiver.accept(TOKEN, rule(1, 2), vec![sample(slot, &[2], "b")]);
-    assert_eq!(again.expect("a good token").duplicates, 1);
+    assert_eq!(again.expect("token is accepted").duplicates, 1);
     let old = vec![sample(SlotIndex::new(1), &[2], "c"), sample(SlotIndex::new(9), &[4], "d")];
-    let late = receiver.accept(TOKEN, rule(2, 4), old).expect("a good token");
+    let late = receiver.accept(TOKEN, rule(2, 4), old).expect("token is accepted");
     assert_eq!((late.stale, late.unknown_slots, late.accepted.len()), (1, 1, 0));
 }
 
@@ -190,7 +190,7 @@
 fn the_receiver_refuses_a_response_with_a_lower_token() {
     let mut receiver = StepReceiver::new(spec(1));
     let slot = SlotIndex::new(0);
-    receiver.accept(TOKEN.next(), rule(1, 1), Vec::new()).expect("the first token");
+    receiver.accept(TOKEN.next(), rule(1, 1), Vec::new()).expect("token is accepted");
     let refused = receiver.accept(TOKEN, rule(1, 1), vec![sample(slot, &[1], "a")]);
     refused.unwrap_err();
     assert!(receiver.held().is_empty());
