--- a/crates/swaps/src/lib.rs
+++ b/crates/swaps/src/lib.rs
@@ -1,4 +1,7 @@
-//! Rolls a model version out over the replicas of one failure domain.
+//! Rolls model versions out over replicas.
+//!
+//! [`divide_engines`] divides the engines of a service among its models, and [`due_loads`] selects
+//! the engines that load next.
 //!
 //! [`RolloutCoordinator`] runs on one box per pool and failure domain, under a lease. It rebuilds
 //! its state by reading the engines, never from earlier orders. Every order carries the lease's
--- a/crates/swaps/src/shares.rs
+++ b/crates/swaps/src/shares.rs
@@ -8,9 +8,9 @@
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Engines assigned per engine that the open items of a model would fill. Allows for engines that
+/// A model gets this many times the engines that its open items would fill. Allows for engines that
 /// are loading, the loss of a failure domain, and bursts of items.
-const ENGINES_PER_FULL: f64 = 4.0;
+const HEADROOM_FACTOR: f64 = 4.0;
 /// Minimum number of engines that a model needs, so that a new step finds up-to-date engines.
 const MIN_ENGINES: usize = 12;
 
@@ -52,7 +52,7 @@
 )]
 pub fn needed_engines(open_items: f64, slots: u32) -> usize {
     let filled = open_items / f64::from(slots.max(1));
-    MIN_ENGINES + (filled * ENGINES_PER_FULL).ceil() as usize
+    MIN_ENGINES + (filled * HEADROOM_FACTOR).ceil() as usize
 }
 
 /// A ranking of all engines for each model, by a hash of their names.
--- a/crates/xtask/src/mutate.rs
+++ b/crates/xtask/src/mutate.rs
@@ -716,8 +716,8 @@
     Mutation {
         name: "platform: a model is followed by its share of all engines",
         file: "crates/swaps/src/shares.rs",
-        from: "MIN_ENGINES + (filled * ENGINES_PER_FULL).ceil() as usize",
-        to: "MIN_ENGINES + (filled * ENGINES_PER_FULL * 1e6).ceil() as usize",
+        from: "MIN_ENGINES + (filled * HEADROOM_FACTOR).ceil() as usize",
+        to: "MIN_ENGINES + (filled * HEADROOM_FACTOR * 1e6).ceil() as usize",
         package: "swaps",
         test: "a_larger_fleet_needs_no_more_engines",
     },
