--- a/crates/bench/src/beats.rs
+++ b/crates/bench/src/beats.rs
@@ -86,7 +86,7 @@
         }
         busy += started.elapsed();
         for (from, out) in beats {
-            let wire = heartbeat_to_wire(&out.beat, Generation::new(7));
+            let wire = heartbeat_to_wire(&out.heartbeat, Generation::new(7));
             let bytes = wire.encoded_len() as u64 + PACKET_BYTES;
             if second > WARM_UP {
                 counts.entry(from).or_default().sent += bytes;
@@ -94,7 +94,7 @@
             }
             let started = Instant::now();
             if let Some(table) = tables.get_mut(&out.to) {
-                table.receive_heartbeat(now, out.beat);
+                table.receive_heartbeat(now, out.heartbeat);
             }
             busy += started.elapsed();
             handled += 1;
--- a/crates/coord/src/lease.rs
+++ b/crates/coord/src/lease.rs
@@ -4,7 +4,8 @@
 //!
 //! 1. The holder measures its term from *before* it sent the write, and stops acting a margin
 //!    before the term ends.
-//! 2. A new holder must have observed the object unchanged for a full term.
+//! 2. A new holder must have observed the object unchanged for a full term, unless the lease was
+//!    released or an earlier incarnation of the same box holds it.
 //! 3. Each change of holder raises the token, so receivers can reject an earlier holder.
 //!
 //! If the response to a write is lost, the claim reads the object back and compares the number of
@@ -80,7 +81,7 @@
     /// Number of its last applied write.
     pub write: u64,
     /// When the report was first received; the write is older.
-    pub heard_at: Moment,
+    pub received_at: Moment,
 }
 
 impl LeaseReport {
@@ -257,7 +258,7 @@
         if self
             .report
             .as_ref()
-            .is_some_and(|known| known.write == report.write && known.token == report.token)
+            .is_some_and(|last| last.write == report.write && last.token == report.token)
         {
             return;
         }
@@ -449,7 +450,7 @@
         };
         let matching = self.report.as_ref().filter(|report| report.matches(&lease.record));
         let unchanged_since =
-            matching.map_or(unchanged_since, |report| report.heard_at.min(unchanged_since));
+            matching.map_or(unchanged_since, |report| report.received_at.min(unchanged_since));
         self.watched = Some(Watched { version: lease.version, unchanged_since });
         let term = Duration::from_millis(lease.record.term_ms);
         let token = lease.record.token.next();
--- a/crates/coord/src/members.rs
+++ b/crates/coord/src/members.rs
@@ -2,9 +2,9 @@
 //!
 //! Within a failure domain every box sends a heartbeat to every other box once a second. Every
 //! fifth heartbeat includes the sender's full record. Between domains only delegates (the two
-//! highest-ranked boxes of a domain) send heartbeats, to a few domains in turn. A box therefore
-//! tracks all members of its own domain and a few contacts in each other domain, for any fleet
-//! size.
+//! highest-ranked boxes of a domain) and leaving boxes send heartbeats, to a few domains in turn. A
+//! box therefore tracks all members of its own domain and a few contacts in each other domain, for
+//! any fleet size.
 //!
 //! The platform's list only seeds the table. A leaving box stays leaving until it has a newer
 //! incarnation.
@@ -18,7 +18,7 @@
 
 /// Time between a box's heartbeats.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// Time without a heartbeat after which a box is suspected. Two heartbeats may be lost.
+/// Time without a heartbeat after which a box is suspected. One heartbeat may be lost.
 pub const SUSPECT_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Time without a heartbeat after which a box counts as dead.
 pub const DEAD_TIMEOUT: Duration = Duration::from_secs(6);
@@ -58,7 +58,7 @@
 pub struct RelayedRecord {
     /// The record.
     pub record: MemberRecord,
-    /// Time between the box's last heartbeat to the relaying box and the relay.
+    /// Time since the box's last heartbeat that the relaying box has received or learned of.
     pub age: Duration,
 }
 
@@ -85,7 +85,7 @@
     /// The receiver's address.
     pub to: String,
     /// The heartbeat.
-    pub beat: Heartbeat,
+    pub heartbeat: Heartbeat,
 }
 
 /// Liveness of a box, as seen by another.
@@ -93,7 +93,7 @@
 pub enum Liveness {
     /// Sends heartbeats.
     Live,
-    /// Has missed several heartbeats; gets no new assignments.
+    /// Has missed heartbeats; gets no new assignments.
     Suspect,
     /// Stopping, according to the box or to the platform's list.
     Leaving,
@@ -234,7 +234,7 @@
             .domain_peers()
             .map(|entry| OutgoingHeartbeat {
                 to: entry.record.address.clone(),
-                beat: self.heartbeat(now, generation, full || !entry.introduced),
+                heartbeat: self.heartbeat(now, generation, full || !entry.introduced),
             })
             .collect();
         for entry in self.entries.values_mut() {
@@ -296,7 +296,7 @@
                     [turn.wrapping_mul(DOMAINS_PER_HEARTBEAT).wrapping_add(offset) % others.len()]
             })
             .filter_map(|domain| self.contact_in(domain, turn))
-            .map(|to| OutgoingHeartbeat { to, beat: self.heartbeat(now, generation, true) })
+            .map(|to| OutgoingHeartbeat { to, heartbeat: self.heartbeat(now, generation, true) })
             .collect()
     }
 
--- a/crates/coord/tests/lease_reports.rs
+++ b/crates/coord/tests/lease_reports.rs
@@ -36,12 +36,12 @@
     ReadOutcome::Found(VersionedLease { version: ObjectVersion::new(9), record })
 }
 
-fn report(write: u64, heard_at: Moment) -> LeaseReport {
+fn report(write: u64, received_at: Moment) -> LeaseReport {
     LeaseReport {
         holder: "other".parse().expect("valid id"),
         token: FencingToken::new(4),
         write,
-        heard_at,
+        received_at,
     }
 }
 
--- a/crates/coord/tests/members_and_config.rs
+++ b/crates/coord/tests/members_and_config.rs
@@ -64,7 +64,7 @@
         }
         for outgoing in delivered {
             if let Some(table) = self.tables.get_mut(&outgoing.to) {
-                table.receive_heartbeat(self.now, outgoing.beat);
+                table.receive_heartbeat(self.now, outgoing.heartbeat);
             }
         }
     }
@@ -213,7 +213,10 @@
     let relayed = coord::members::RelayedRecord { record: record(1, 1, 1), age: Duration::ZERO };
     table.merge_relayed(Moment::START, relayed);
     let outgoing = table.poll(Moment::START + Duration::from_secs(1), Generation::new(1));
-    assert!(outgoing[0].beat.record.is_some(), "the peer lacks this box's record: {outgoing:?}");
+    assert!(
+        outgoing[0].heartbeat.record.is_some(),
+        "the peer lacks this box's record: {outgoing:?}"
+    );
     let outgoing = table.poll(Moment::START + Duration::from_secs(2), Generation::new(1));
-    assert!(outgoing[0].beat.record.is_none());
+    assert!(outgoing[0].heartbeat.record.is_none());
 }
--- a/crates/gannetwayd/src/members.rs
+++ b/crates/gannetwayd/src/members.rs
@@ -86,8 +86,8 @@
         if due {
             heartbeats.extend(self.bootstrap_heartbeats(&heartbeats, generation));
         }
-        for OutgoingHeartbeat { to, beat } in heartbeats {
-            let beat = heartbeat_to_wire(&beat, revision);
+        for OutgoingHeartbeat { to, heartbeat } in heartbeats {
+            let beat = heartbeat_to_wire(&heartbeat, revision);
             self.send(to, beat);
         }
     }
@@ -111,7 +111,9 @@
             relayed: Vec::new(),
         };
         let peers = self.ctx.settings.peers.iter();
-        peers.map(|peer| OutgoingHeartbeat { to: peer.to_string(), beat: beat.clone() }).collect()
+        peers
+            .map(|peer| OutgoingHeartbeat { to: peer.to_string(), heartbeat: beat.clone() })
+            .collect()
     }
 
     fn send(&self, to: String, beat: BoxHeartbeat) {
--- a/crates/shards/src/claim.rs
+++ b/crates/shards/src/claim.rs
@@ -149,7 +149,7 @@
     };
     let report = ctx.peers.lease_report(&lease.subject.to_string());
     let reported_at =
-        report.map_or(observed.seen_at, |report| report.heard_at.max(observed.seen_at));
+        report.map_or(observed.seen_at, |report| report.received_at.max(observed.seen_at));
     let unreported_for = ctx.view.now().since(reported_at);
     ctx.view.store_state().up && unreported_for >= TERM * u32::try_from(rank).unwrap_or(u32::MAX)
 }
@@ -165,7 +165,7 @@
     let action = {
         let mut claim = lock(&lease.claim);
         // A lease with a live holder needs no read.
-        let is_live = report.as_ref().is_some_and(|report| now.since(report.heard_at) < TERM);
+        let is_live = report.as_ref().is_some_and(|report| now.since(report.received_at) < TERM);
         if is_live && !claim.is_held() && !lease.may_hold() {
             return;
         }
--- a/crates/shards/src/peers.rs
+++ b/crates/shards/src/peers.rs
@@ -113,7 +113,7 @@
                 continue;
             }
             let report =
-                LeaseReport { holder: box_id.clone(), token, write: held.write, heard_at: now };
+                LeaseReport { holder: box_id.clone(), token, write: held.write, received_at: now };
             states.lease_reports.insert(held.name.clone(), report);
         }
     }
