--- a/crates/keeping/src/keeper.rs
+++ b/crates/keeping/src/keeper.rs
@@ -1,4 +1,4 @@
-//! The keeper's state machine.
+//! The keeper's state machine: steps, requests of the trainer, and attempts at targets.
 
 mod acting;
 
@@ -61,12 +61,14 @@
     settings: KeeperSettings,
     rng: R,
     claim: LeaseClaim,
+    /// Token under which this box acts as the keeper; `None` while it does not.
     acting: Option<FencingToken>,
     /// Highest token received from the trainer or a previous keeper.
     highest_seen: FencingToken,
     pool: Option<PoolSpec>,
     generation: Generation,
     steps: BTreeMap<StepNumber, StepLedger>,
+    /// Steps of a previous keeper that are not resumed yet.
     adopted: Vec<StepSnapshot>,
     chooser: C,
     in_flight: u32,
@@ -80,6 +82,7 @@
     released: bool,
     /// Start of the time without open steps.
     empty_since: Option<Moment>,
+    /// Until then no target is selected, because the last selection found none.
     starved_until: Option<Moment>,
     /// Start of the time with samples that wait for a version not yet named.
     ahead_since: Option<Moment>,
--- a/crates/keeping/src/keeper/acting.rs
+++ b/crates/keeping/src/keeper/acting.rs
@@ -11,7 +11,7 @@
 use super::{RefusedRequests, StepKeeper};
 
 /// Terms without a response of the platform after which a keeper starts without a lease.
-const DETACH_TERMS: u32 = 2;
+const UNAVAILABLE_TERMS: u32 = 2;
 /// Terms of refused requests after which a keeper takes a lease that its holder still renews. The
 /// holder is then assumed to be unreachable for the trainer.
 const FORCE_TERMS: u32 = 3;
@@ -75,7 +75,7 @@
     }
 
     /// Returns whether there is no reason to claim the lease: it was released in a planned stop, or
-    /// there are no requests.
+    /// this box does not act, has no adopted steps, has not just started and gets no requests.
     pub(super) fn is_claim_idle(&self, now: Moment) -> bool {
         let just_started = now.since(self.started_at) < self.settings.term;
         let wanted = self.acting.is_some() || !self.adopted.is_empty() || just_started;
@@ -130,7 +130,7 @@
         }
         let Some(refused_for) = self.refused_for(now) else { return };
         let unresponsive_since = self.platform_seen_at.unwrap_or(self.started_at);
-        let unavailable = now.since(unresponsive_since) >= self.settings.term * DETACH_TERMS;
+        let unavailable = now.since(unresponsive_since) >= self.settings.term * UNAVAILABLE_TERMS;
         if unavailable || refused_for >= self.settings.term * SLOW_TERMS {
             let last_read =
                 self.claim.other_holder().map(|record| record.token).unwrap_or_default();
