--- a/crates/joblog/src/epoch_takeover.rs
+++ b/crates/joblog/src/epoch_takeover.rs
@@ -113,8 +113,8 @@
 impl EpochTakeover {
     /// Creates an attempt by box `me`.
     ///
-    /// `number` is a random number, different for each attempt. `loaded_epoch` is the epoch that
-    /// this box has served until now, if its records are still in memory.
+    /// `number` is a random number, different for each attempt. `loaded_epoch` is the epoch whose
+    /// acknowledged records this box has in memory, if any; they need not be read from disk.
     pub const fn new(me: StorageBox, number: u64, loaded_epoch: Option<EpochId>) -> Self {
         Self {
             me,
--- a/crates/joblog/src/takeover.rs
+++ b/crates/joblog/src/takeover.rs
@@ -62,7 +62,7 @@
     pub first_rank: usize,
     /// Time since this box learned that there is no plan.
     pub no_plan_for: Duration,
-    /// Whether this box prefers to serve the shard.
+    /// This box's preference for serving the shard.
     pub preference: TakeoverPreference,
 }
 
--- a/crates/joblog/tests/copies.rs
+++ b/crates/joblog/tests/copies.rs
@@ -37,7 +37,7 @@
 
 #[test]
 fn records_are_read_back_by_location() {
-    let test = TestFolder::new("places");
+    let test = TestFolder::new("locations");
     let folder = CopyFolder::open(&test.0).expect("folder opens");
     let mut file = folder.create(SHARD, &epoch()).expect("copy is created");
     let mut bytes = Vec::new();
