--- a/crates/jobs/src/item.rs
+++ b/crates/jobs/src/item.rs
@@ -44,16 +44,16 @@
         (continues && has_unlogged).then(|| self.progress(&result.events, result.logged))
     }
 
-    /// Returns the record that logs the events of a run after the first `sent` ones, which are
+    /// Returns the record that logs the events of a run after the first `logged` ones, which are
     /// logged already.
-    pub fn progress(&self, events: &[RunEvent], sent: usize) -> LogRecord {
+    pub fn progress(&self, events: &[RunEvent], logged: usize) -> LogRecord {
         let count = |events: usize| u32::try_from(events).unwrap_or(u32::MAX);
         let mut state = ItemState::new();
-        state.add_events(&events[sent..]);
+        state.add_events(&events[logged..]);
         let progress = ItemProgress {
             job: self.item.job.to_string(),
             index: self.item.index,
-            from_event: self.events + count(sent),
+            from_event: self.events + count(logged),
             events: state.events,
             packed_text: pack_text(&state.text),
             versions: state.versions,
@@ -75,7 +75,7 @@
     Complete,
     /// The response broke off or timed out; another target continues after the last complete event.
     Cut,
-    /// This box cancelled the run to continue it on a better target at once.
+    /// This box ended the run to continue it on a faster target immediately.
     Moved,
     /// The target did not accept the work.
     NotRun,
@@ -118,7 +118,7 @@
         /// Attempts allowed by the reward call's route.
         attempts: u32,
     },
-    /// No response arrived, or no target accepted the call.
+    /// No usable response arrived, or no target accepted the call.
     Missed,
     /// The call is quarantined because it crashes its targets; it was not made.
     Quarantined,
--- a/crates/jobs/src/reads.rs
+++ b/crates/jobs/src/reads.rs
@@ -66,7 +66,7 @@
     }
 
     /// Whether the job exists and `customer` may access it.
-    pub fn may_ask(&self, id: &JobId, customer: &str) -> bool {
+    pub fn may_access(&self, id: &JobId, customer: &str) -> bool {
         self.contains(id) && !self.belongs_to_other_customer(id, customer)
     }
 
--- a/crates/jobs/src/scheduling.rs
+++ b/crates/jobs/src/scheduling.rs
@@ -1,8 +1,8 @@
 //! Start order of waiting items over all jobs of a shard.
 //!
 //! When target capacity is scarce, a step completes when its longest texts do. So among the first
-//! items of all jobs, the one with the earliest latest start goes first: a long text of a later job
-//! may start before a short one of an earlier job.
+//! items of all jobs, the one with the smallest [`LatestStart`] goes first: a long text of a later
+//! job may start before a short one of an earlier job.
 
 use std::sync::Arc;
 
@@ -19,7 +19,7 @@
     /// Index of the item in the job's queue.
     offset: usize,
     index: u32,
-    /// Whether the job's runs are blocked; only items without a need for an engine may start.
+    /// Whether the job's runs are blocked; only items that need just their reward call may start.
     blocked: bool,
     latest_start: LatestStart,
 }
@@ -28,7 +28,7 @@
     let by_start = candidates.iter().enumerate();
     let first = by_start.min_by(|(_, a), (_, b)| a.latest_start.compare(b.latest_start));
     let (at, _) = first?;
-    // `remove` keeps the order of the rest, so ties go to the candidate added first.
+    // `remove` keeps the order of the others, so ties go to the candidate added first.
     Some(candidates.remove(at))
 }
 
--- a/crates/jobs/src/state.rs
+++ b/crates/jobs/src/state.rs
@@ -48,7 +48,7 @@
     /// The record that drops the job is being appended to the log.
     pub dropping: bool,
     pub bytes: usize,
-    /// Timings for the log.
+    /// Timings, reported when the job ends.
     pub trace: StepTrace,
 }
 
--- a/crates/jobs/src/table.rs
+++ b/crates/jobs/src/table.rs
@@ -291,8 +291,8 @@
             entry.clear_text();
         } else {
             // Some of the events may already have been applied from the log.
-            let kept = (entry.events - spec.events) as usize;
-            entry.add_events(run.events.get(kept..).unwrap_or_default());
+            let applied = (entry.events - spec.events) as usize;
+            entry.add_events(run.events.get(applied..).unwrap_or_default());
             if !ItemState::versions_fit(&entry.versions, &job) {
                 entry.clear_text();
                 return self.requeue(now, item, RETRY_DELAY);
--- a/crates/jobs/src/trace.rs
+++ b/crates/jobs/src/trace.rs
@@ -1,7 +1,7 @@
 //! Timings of a job, reported once when the job ends.
 //!
 //! A trainer continues when enough complete groups are listed, all groups carried over from earlier
-//! jobs included. The timings contain the start of the first run, when the last wanted item was
+//! jobs included. The timings contain the start of the first item, when the last wanted item was
 //! listed and read, the time breakdown of that item, and how long items were blocked, by reason.
 
 use std::collections::{HashMap, HashSet};
@@ -68,7 +68,7 @@
 /// Timings of a job, counted from its acceptance on this box.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StepTimings {
-    /// Time of the first run.
+    /// Time of the first run or reward call.
     pub first_run: Option<Duration>,
     /// Time when the last wanted item was listed.
     pub wanted: Option<Duration>,
--- a/crates/jobs/tests/table.rs
+++ b/crates/jobs/tests/table.rs
@@ -497,12 +497,14 @@
     table.apply(at(0), accepted(job_of("owned", "cuka")));
     table.apply(at(0), accepted(job_of("old", "")));
     let (owned, old) = (id("owned"), id("old"));
-    assert!(table.may_ask(&owned, "cuka"));
-    assert!(!table.may_ask(&owned, "seje") && table.belongs_to_other_customer(&owned, "seje"));
+    assert!(table.may_access(&owned, "cuka"));
+    assert!(!table.may_access(&owned, "seje") && table.belongs_to_other_customer(&owned, "seje"));
     // The job has no customer, or none is configured.
-    assert!(table.may_ask(&old, "seje") && table.may_ask(&owned, ""));
+    assert!(table.may_access(&old, "seje") && table.may_access(&owned, ""));
     let unknown = id("unknown");
-    assert!(!table.may_ask(&unknown, "cuka") && !table.belongs_to_other_customer(&unknown, "cuka"));
+    assert!(
+        !table.may_access(&unknown, "cuka") && !table.belongs_to_other_customer(&unknown, "cuka")
+    );
 }
 
 #[test]
--- a/crates/shards/src/handler.rs
+++ b/crates/shards/src/handler.rs
@@ -235,7 +235,7 @@
         let max_bytes = usize::try_from(read.max_bytes).unwrap_or(usize::MAX);
         let mut changes = keeper.changes();
         loop {
-            if !keeper.jobs().may_ask(&id, &read.customer) {
+            if !keeper.jobs().may_access(&id, &read.customer) {
                 return Err(self.confirm_job_not_found(keeper).await);
             }
             let page = keeper.jobs().page(&id, read.from, max_bytes);
@@ -295,7 +295,7 @@
         let id: JobId = query.job.parse().map_err(|_error| job_not_found())?;
         let (may_read, body) = {
             let jobs = keeper.jobs();
-            let may_read = jobs.may_ask(&id, &query.customer);
+            let may_read = jobs.may_access(&id, &query.customer);
             (may_read, jobs.body(&id, &query.item).filter(|_| may_read))
         };
         match body {
@@ -311,7 +311,7 @@
     async fn end(&self, end: &JobEnd) -> HandlerResult {
         let keeper = self.served(end.shard)?;
         let id: JobId = end.job.parse().map_err(|_error| job_not_found())?;
-        if !keeper.jobs().may_ask(&id, &end.customer) {
+        if !keeper.jobs().may_access(&id, &end.customer) {
             return Err(self.confirm_job_not_found(keeper).await);
         }
         let timings = keeper.jobs().finish_timings(self.ctx.view.now(), &id);
