--- a/crates/shards/src/backlog.rs
+++ b/crates/shards/src/backlog.rs
@@ -9,8 +9,9 @@
 
 use crate::keeper::ShardKeeper;
 
-/// Weight of the newest sample in the moving average. There are four samples per second, so items
-/// of about the last two steps count.
+/// Weight of the newest sample in the moving average. A sample is taken before each round of
+/// heartbeats, at least every 250 ms, so its time constant is at most about eight
+/// seconds.
 const SMOOTHING_FACTOR: f64 = 0.03;
 /// Reports of other boxes expire after this time.
 const BACKLOG_TTL: Duration = Duration::from_secs(3);
--- a/crates/shards/src/claim.rs
+++ b/crates/shards/src/claim.rs
@@ -67,7 +67,7 @@
     held_elsewhere: Mutex<bool>,
     /// Set while an action on the lease is in flight.
     busy: Mutex<bool>,
-    /// Until when this box leaves the lease to other boxes.
+    /// Until then this box leaves the lease to other boxes.
     unfit_until: Mutex<Moment>,
 }
 
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Returns whether this box holds the lease, or may hold it as far as it has been read.
+    /// Returns `false` if the last read or write showed that this box does not hold the lease.
     fn may_hold(&self) -> bool {
         !*lock(&self.held_elsewhere)
     }
@@ -254,7 +254,7 @@
     }
 }
 
-/// A response about a lease shows that the store is reachable, often earlier than a watch does.
+/// Marks the store as reachable if it responded about a lease, often earlier than a watch does.
 fn record_store_response(ctx: &ShardContext, answered: bool) {
     if answered {
         ctx.view.store_answered(Kind::Leases, true);
@@ -272,7 +272,7 @@
         target: "conductor", lease:% = lease.subject, token = token.get(),
         after:% = before.map_or("none", |record| record.holder.as_str()),
         wait_ms = whole_millis(from.since(now));
-        "lease held"
+        "lease acquired"
     );
 }
 
--- a/crates/shards/src/copies.rs
+++ b/crates/shards/src/copies.rs
@@ -83,7 +83,7 @@
     }
 
     /// Starts a copy with the first piece or continues it; opens it for appends after the last
-    /// one.
+    /// one. `None` when a later piece arrives for a copy that was not started.
     pub async fn receive(
         &self,
         shard: ShardIndex,
--- a/crates/shards/src/dispatch.rs
+++ b/crates/shards/src/dispatch.rs
@@ -97,7 +97,7 @@
         let (ctx, keeper) = (Arc::clone(ctx), Arc::clone(keeper));
         let token = keeper.run_token(&spec.item.job);
         tokio::spawn(async move {
-            let step = match step {
+            let reward_due = match step {
                 NextStep::Reward => true,
                 NextStep::Run(slot) => {
                     let run = tokio::select! {
@@ -114,7 +114,7 @@
                     complete
                 }
             };
-            if step {
+            if reward_due {
                 tokio::select! {
                     () = reward_item(&ctx, &keeper, &spec) => {}
                     () = token.cancelled() => {}
--- a/crates/shards/src/engine_assignments.rs
+++ b/crates/shards/src/engine_assignments.rs
@@ -9,7 +9,7 @@
 
 /// Fraction by which a model's peak work decays per update. A slow decay avoids reassigning
 /// engines between the steps of a job, which would load weights twice.
-const NEED_DECAY: f64 = 0.001;
+const PEAK_DECAY: f64 = 0.001;
 
 /// The engines of a service, and the models that they are assigned to.
 #[derive(Debug, Default)]
@@ -39,7 +39,7 @@
             self.rank(targets, service, models);
         }
         for (peak, work) in self.peak_work.iter_mut().zip(work) {
-            *peak = (*peak * (1.0 - NEED_DECAY)).max(*work);
+            *peak = (*peak * (1.0 - PEAK_DECAY)).max(*work);
         }
         let counts = self.shares(work);
         if ranked || counts != self.counts {
--- a/crates/shards/src/handler.rs
+++ b/crates/shards/src/handler.rs
@@ -44,11 +44,17 @@
     async fn request(&self, request: Request, mut sink: ResponseSink, cancel: CancellationToken) {
         let Some(request::Body::Shard(query)) = request.body else {
             return sink
-                .refuse(bad_request("this box keeps shards of jobs: ask an entry box"))
+                .refuse(bad_request(
+                    "this box stores shards of jobs: send the request to an entry box",
+                ))
                 .await;
         };
         let Some(body) = query.body else {
-            return sink.refuse(bad_request("the request is empty: send one of its kinds")).await;
+            return sink
+                .refuse(bad_request(
+                    "the request is empty or of an unknown kind: send a supported one",
+                ))
+                .await;
         };
         let result = tokio::select! {
             result = self.handle(body) => result,
@@ -113,11 +119,15 @@
 }
 
 fn not_served() -> Refused {
-    refused(RefusedKind::NotKept, "", "this box does not serve the shard: ask the one that does")
+    refused(
+        RefusedKind::NotKept,
+        "",
+        "this box does not serve the shard: send the request to its server",
+    )
 }
 
 fn job_not_found() -> Refused {
-    refused(RefusedKind::BadRequest, reason::NO_JOB, "no such job is held: check its id")
+    refused(RefusedKind::BadRequest, reason::NO_JOB, "there is no such job: check its id")
 }
 
 /// Returns whether the in-memory job table of a shard contains a job.
@@ -131,12 +141,12 @@
         return Ok(shard_response::Body::Accepted(JobAccepted { known }));
     }
     log::warn!(target: "jobs", job:% = id, customer = customer, outcome = "id taken"; "job refused");
-    let message = "the id is in use: send the job under an id of its own";
+    let message = "the id is in use: send the job with another id";
     Err(refused(RefusedKind::Conflict, reason::TAKEN, message))
 }
 
 fn outcome_unknown() -> Refused {
-    let message = "the log has ended meanwhile, it may be kept: ask again under the same id";
+    let message = "the outcome is unknown: repeat the request with the same id";
     refused(RefusedKind::Unknown, "", message)
 }
 
@@ -151,7 +161,7 @@
             // The shard count is not agreed yet.
             return Err(not_served());
         }
-        let message = "there is no such shard: give all boxes the same number of shards";
+        let message = "there is no such shard: configure the same shard count on all boxes";
         self.keepers.get(ShardIndex::new(shard)).ok_or_else(|| bad_request(message))
     }
 
@@ -203,7 +213,7 @@
     async fn submit(&self, shard: u32, job: Job) -> HandlerResult {
         let keeper = self.served(shard)?;
         let id: JobId =
-            job.id.parse().map_err(|_error| bad_request("the job's id is not an id"))?;
+            job.id.parse().map_err(|_error| bad_request("the job's id is invalid: check it"))?;
         if keeper.jobs().contains(&id) {
             return submit_response(keeper, &id, &job.customer, true);
         }
@@ -211,7 +221,7 @@
         // The limit covers all shards of the box, since it may come to serve any of them.
         let held: usize = self.keepers.all().iter().map(|keeper| keeper.jobs().bytes()).sum();
         if held + bytes > self.ctx.settings.job_bytes {
-            let message = "the shard holds as much as it may: send the job later";
+            let message = "this box has reached its limit for jobs: send the job later";
             return Err(refused(RefusedKind::NotRun, reason::FULL, message));
         }
         let (items, min_version, customer) =
@@ -342,7 +352,11 @@
         let epoch = parse_epoch(&copy.epoch)?;
         let shard = ShardIndex::new(copy.shard);
         if self.ctx.is_leaving() {
-            return Err(refused(RefusedKind::NotRun, "leaving", "this box leaves: choose another"));
+            return Err(refused(
+                RefusedKind::NotRun,
+                "leaving",
+                "this box is leaving: choose another",
+            ));
         }
         let received =
             self.ctx.copies.receive(shard, epoch, copy.first, copy.last, copy.records).await;
@@ -359,7 +373,7 @@
 
 fn parse_epoch(text: &str) -> Result<EpochId, Refused> {
     text.parse().map_err(|_error| {
-        bad_request("the epoch cannot be read: check that all boxes run one release")
+        bad_request("the epoch id is invalid: check that all boxes run the same release")
     })
 }
 
@@ -368,7 +382,7 @@
         Some(Ok(length)) => Ok(shard_response::Body::Synced(LogSynced { length })),
         Some(Err(error)) => Err(refused(RefusedKind::Unknown, "disk", &error.to_string())),
         None => {
-            let message = "the epoch is not open here: form a new one";
+            let message = "the epoch is not open on this box: start a new epoch";
             Err(refused(RefusedKind::NotKept, "closed", message))
         }
     }
--- a/crates/shards/src/keeper.rs
+++ b/crates/shards/src/keeper.rs
@@ -118,7 +118,7 @@
         self.ctx.heartbeat_due.notify_one();
     }
 
-    /// Starts to serve an epoch; `places` are the locations of results in its copy.
+    /// Starts to serve an epoch; `locations` are those of the results in its copy.
     pub fn start_serving(&self, served: ServedEpoch, locations: &[(JobId, u32, RecordLocation)]) {
         *lock(&self.confirmed_at) = None;
         self.set_jobs_epoch(Some(served.epoch.clone()));
@@ -198,9 +198,8 @@
         let Some(served) = self.served() else { return };
         let work = LogWork { records, done: None };
         if served.log.try_send(work).is_err() {
-            // A full queue means that the log is stuck: end the epoch. The next epoch lists these
-            // items again.
-            log::error!(target: "shard", shard = self.shard.get(); "log queue full; ending the epoch");
+            // The log is stuck or has ended: end the epoch. The next epoch lists these items again.
+            log::error!(target: "shard", shard = self.shard.get(); "log queue is full or closed; ending the epoch");
             served.ended.cancel();
         }
     }
--- a/crates/shards/src/keepers.rs
+++ b/crates/shards/src/keepers.rs
@@ -16,7 +16,7 @@
 
 /// How long the first-ranked box waits for others to register before it proposes a shard count.
 /// The boxes of a new deployment start well within this time.
-const COUNT_DELAY: Duration = Duration::from_secs(1);
+const PROPOSAL_DELAY: Duration = Duration::from_secs(1);
 /// Maximum interval between two checks if no change is notified.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
@@ -76,7 +76,7 @@
     let boxes: Vec<_> = assignments.boxes().map(|copy| copy.box_id.clone()).collect();
     let ranked = coord::rendezvous::ranked(LAYOUT_NAME, &boxes, boxes.len());
     let rank = ranked.iter().position(|box_id| **box_id == ctx.me.box_id)?;
-    let delay = COUNT_DELAY + TAKEOVER_TIMEOUT * u32::try_from(rank).unwrap_or(u32::MAX);
+    let delay = PROPOSAL_DELAY + TAKEOVER_TIMEOUT * u32::try_from(rank).unwrap_or(u32::MAX);
     let layout = ShardLayout::for_boxes(boxes.len(), ctx.settings.copies);
     (waited >= delay).then_some(layout)
 }
--- a/crates/shards/src/loads.rs
+++ b/crates/shards/src/loads.rs
@@ -19,7 +19,7 @@
 use crate::keepers::KeeperSet;
 use crate::peers::send_heartbeat;
 
-/// How long a reported load is valid: two heartbeats, 250 ms apart, may be lost.
+/// How long a reported load is valid: one of the heartbeats, 250 ms apart, may be lost.
 const LOAD_REPORT_TTL: Duration = Duration::from_millis(700);
 /// How long a completed load is still reported, in case a heartbeat is lost.
 const ENDED_LOAD_TTL: Duration = Duration::from_secs(1);
--- a/crates/shards/src/log_writer.rs
+++ b/crates/shards/src/log_writer.rs
@@ -40,7 +40,7 @@
 pub struct EpochLog {
     /// The epoch.
     pub epoch: EpochId,
-    /// This box's copy.
+    /// This box's copy; `None` while a round is written.
     pub file: Option<LogCopyFile>,
     /// The boxes that hold the other copies.
     pub partners: Vec<StorageBox>,
@@ -81,7 +81,7 @@
         keeper.apply(round.records);
         for done in round.waiters {
             // The waiter may have been dropped.
-            let _left = done.send(());
+            let _dropped = done.send(());
         }
     }
 }
@@ -149,18 +149,18 @@
         let body = shard_request::Body::Append(append.clone());
         let error = match ctx.call_box(&partner.address, ROUND_TIMEOUT, body).await {
             Ok(shard_response::Body::Synced(_)) => return true,
-            Ok(_) => CallError::Broken { why: "an answer of another kind" },
+            Ok(_) => CallError::Broken { why: "unexpected kind of response" },
             Err(error) => error,
         };
         ctx.peers.record_failure(ctx.view.now(), &partner.box_id);
         let refused = matches!(error, CallError::Refused(_));
-        let again = !refused && !ctx.view.store_state().up;
+        let retry = !refused && !ctx.view.store_state().up;
         log::warn!(
             target: "shard", shard = append.shard, epoch = append.epoch.as_str(),
-            peer:% = partner.box_id, offset = append.offset, error:% = error, again = again;
+            peer:% = partner.box_id, offset = append.offset, error:% = error, again = retry;
             "copy did not accept the append"
         );
-        if !again {
+        if !retry {
             return false;
         }
         time::sleep(RETRY_DELAY).await;
--- a/crates/shards/src/order.rs
+++ b/crates/shards/src/order.rs
@@ -43,7 +43,7 @@
 pub enum OrderResult {
     /// The engine has the version.
     Loaded,
-    /// The engine is busy with another load.
+    /// The engine is busy with another load, or refused the order.
     Busy,
     /// The lease was lost before the order was sent.
     LeaseLost,
@@ -197,6 +197,6 @@
     match time::timeout(RESPONSE_TIMEOUT, call).await {
         Ok(Ok(full)) => Ok((full.status, full.body)),
         Ok(Err(error)) => Err(error),
-        Err(_elapsed) => Err(SendError::Broken("silence".to_owned())),
+        Err(_elapsed) => Err(SendError::Broken("response timeout".to_owned())),
     }
 }
--- a/crates/shards/src/peers.rs
+++ b/crates/shards/src/peers.rs
@@ -33,7 +33,7 @@
 /// How long a box is avoided for copies after a failed call. It takes this long to detect that it
 /// is unresponsive, and a partition affects its whole failure domain.
 const FAILURE_WINDOW: Duration = Duration::from_millis(1_500);
-/// Boxes with a heartbeat within this time have reported their usage of up to a second ago.
+/// A box with a heartbeat within this time counts as having reported its usage.
 const USAGE_REPORT_WINDOW: Duration = Duration::from_secs(1);
 /// How long standby boxes are called once they are needed: several takeover attempts.
 const STANDBY_WINDOW: Duration = Duration::from_secs(3);
@@ -102,9 +102,9 @@
         for shard in &heartbeat.taking_over {
             states.takeovers.insert((ShardIndex::new(*shard), box_id.clone()), now);
         }
-        for lacking in &heartbeat.missing_copies {
-            let key = (ShardIndex::new(lacking.shard), box_id.clone());
-            states.missing_copies.insert(key, (FencingToken::new(lacking.token), now));
+        for missing in &heartbeat.missing_copies {
+            let key = (ShardIndex::new(missing.shard), box_id.clone());
+            states.missing_copies.insert(key, (FencingToken::new(missing.token), now));
         }
         for held in &heartbeat.leases {
             let token = FencingToken::new(held.token);
@@ -205,7 +205,7 @@
         token: FencingToken,
     ) -> bool {
         let reported = self.lock().missing_copies.get(&(shard, box_id.clone())).copied();
-        reported.is_some_and(|(lacking, at)| lacking == token && now.since(at) < LIVE_WINDOW)
+        reported.is_some_and(|(missing, at)| missing == token && now.since(at) < LIVE_WINDOW)
     }
 
     /// Returns how long a box has not reported that it serves a shard under `token` or a later
@@ -237,13 +237,13 @@
         let token = keeper.served_token()?;
         Some(ServedShard { shard: keeper.shard().get(), token: token.get() })
     });
-    let lacking = keepers.iter().filter_map(|keeper| {
+    let missing_copies = keepers.iter().filter_map(|keeper| {
         let token = ctx.lost_copy(keeper.shard())?;
         Some(ServedShard { shard: keeper.shard().get(), token: token.get() })
     });
     ShardHeartbeat {
         box_id: ctx.me.box_id.to_string(),
-        missing_copies: lacking.collect(),
+        missing_copies: missing_copies.collect(),
         served: served.collect(),
         leaving: ctx.is_leaving(),
         domain: ctx.me.domain.to_string(),
--- a/crates/shards/src/replicas.rs
+++ b/crates/shards/src/replicas.rs
@@ -124,12 +124,12 @@
             log::info!(
                 target: "accounts", service:% = service, domains = baseline.domains.len(),
                 replicas = baseline.domains.values().sum::<u32>();
-                "replica baseline"
+                "replica baseline loaded"
             );
             Some(baseline)
         }
         Err(error) => {
-            log::debug!(target: "accounts", service:% = service, error = error.as_str(); "replica baseline not read");
+            log::debug!(target: "accounts", service:% = service, error = error.as_str(); "replica baseline not loaded");
             None
         }
     }
--- a/crates/shards/src/reports.rs
+++ b/crates/shards/src/reports.rs
@@ -85,7 +85,7 @@
 }
 
 impl UsageReporter {
-    /// Creates a reporter without a known last report; `None` if reports are not configured.
+    /// Creates a reporter that has not read the last report; `None` if reports are not configured.
     pub fn new(ctx: &ShardContext) -> Option<Self> {
         let usage = &ctx.view.usage;
         let length = usage.length()?;
@@ -109,13 +109,13 @@
             self.plan.reset();
             self.token = token;
         }
-        let all_heard = all_peers_recent(&worker.ctx);
+        let all_reachable = all_peers_recent(&worker.ctx);
         let time = worker.ctx.view.usage.time_at(now);
-        let succeeded = match self.plan.poll(time, all_heard) {
+        let succeeded = match self.plan.poll(time, all_reachable) {
             None => true,
             Some(ReportAction::Read) => self.read(&worker.ctx).await,
             Some(ReportAction::Commit { window, expect }) => {
-                self.commit(&worker.ctx, window, expect, all_heard).await
+                self.commit(&worker.ctx, window, expect, all_reachable).await
             }
             Some(ReportAction::Send(report)) => self.send(worker, report).await,
         };
@@ -144,7 +144,7 @@
         ctx: &ShardContext,
         window: UsageWindow,
         expect: ObjectVersion,
-        all_heard: bool,
+        all_reachable: bool,
     ) -> bool {
         let counts = ctx.view.usage.totals(window);
         let report = UsageReport { window, counts };
@@ -157,7 +157,7 @@
         };
         log::info!(
             target: "usage", window = window.get(), customers = report.counts.len(),
-            requests = report.counts.values().sum::<u64>(), all_heard = all_heard,
+            requests = report.counts.values().sum::<u64>(), all_heard = all_reachable,
             outcome = written.as_ref().err().map_or("fixed".to_owned(), ToString::to_string).as_str();
             "usage report"
         );
--- a/crates/shards/src/role.rs
+++ b/crates/shards/src/role.rs
@@ -93,13 +93,16 @@
 
 fn start_watchers(ctx: &Arc<ShardContext>, shutdown: &CancellationToken) {
     let view = &ctx.view;
-    let v = || Arc::clone(view);
+    let shared_view = || Arc::clone(view);
     let no_delay = Duration::ZERO;
-    let mut config = KindWatcher::new(view, Kind::Configuration, no_delay, ConfigSink(v()));
-    let targets = TargetSink::new(v());
+    let mut config =
+        KindWatcher::new(view, Kind::Configuration, no_delay, ConfigSink(shared_view()));
+    let targets = TargetSink::new(shared_view());
     let mut targets = KindWatcher::new(view, Kind::Targets, TARGET_BATCH_DELAY, targets);
-    let mut versions = KindWatcher::new(view, Kind::ModelVersions, no_delay, VersionSink(v()));
-    let mut assignments = KindWatcher::new(view, Kind::ClusterState, no_delay, AssignmentSink(v()));
+    let mut versions =
+        KindWatcher::new(view, Kind::ModelVersions, no_delay, VersionSink(shared_view()));
+    let mut assignments =
+        KindWatcher::new(view, Kind::ClusterState, no_delay, AssignmentSink(shared_view()));
     let retirements = RetirementSink(Arc::clone(ctx));
     let mut retirements = KindWatcher::new(view, Kind::Retirements, no_delay, retirements);
     let mut feed_kinds = vec![
@@ -110,7 +113,7 @@
         retirements.feed(),
     ];
     if view.settings.evacuations {
-        let sink = EvacuationSink(v());
+        let sink = EvacuationSink(shared_view());
         let mut evacuations = KindWatcher::new(view, Kind::Evacuations, no_delay, sink);
         feed_kinds.push(evacuations.feed());
         tokio::spawn(evacuations.run(shutdown.clone()));
@@ -120,7 +123,7 @@
     tokio::spawn(versions.run(shutdown.clone()));
     tokio::spawn(assignments.run(shutdown.clone()));
     tokio::spawn(retirements.run(shutdown.clone()));
-    tokio::spawn(follow_feed(v(), ctx.links.clone(), feed_kinds, shutdown.clone()));
+    tokio::spawn(follow_feed(shared_view(), ctx.links.clone(), feed_kinds, shutdown.clone()));
 }
 
 /// Tracks the boxes that are being retired.
@@ -178,7 +181,7 @@
     }
 }
 
-/// Hands all shards served here over to other boxes.
+/// Stops serving all shards and requests that other boxes take them over.
 async fn hand_over(ctx: &ShardContext, keepers: &[Arc<ShardKeeper>]) {
     for keeper in keepers {
         let Some(served) = keeper.served() else { continue };
@@ -198,7 +201,7 @@
         log::info!(
             target: "shard", shard = keeper.shard().get(), peer:% = next.box_id,
             outcome = if response.is_ok() { "asked" } else { "not reached" };
-            "shard handed over"
+            "shard hand-over requested"
         );
     }
 }
--- a/crates/shards/src/rollout.rs
+++ b/crates/shards/src/rollout.rs
@@ -144,7 +144,8 @@
     named.collect()
 }
 
-/// Runs continue under the new version, unless a sample must come from a single version.
+/// Returns how engines treat running work when they load: it continues under the new version,
+/// unless a sample must come from a single version.
 fn swap_mode(ctx: &ShardContext, service: &ServiceName) -> SwapMode {
     let table = ctx.view.table();
     let single = table.routes().any(|route| {
--- a/crates/shards/src/takeover.rs
+++ b/crates/shards/src/takeover.rs
@@ -1,4 +1,5 @@
-//! Shard takeover: closes a copy, writes its records to new copies, then writes the plan.
+//! Takes shards over: decides when, performs the steps of [`EpochTakeover`], and serves the new
+//! epoch until it ends.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,7 +32,7 @@
 /// Reason for ending an epoch when another box serves the shard.
 const SUPERSEDED: &str = "another plan is in force";
 
-/// Serves a shard whenever it is assigned to this box.
+/// Takes a shard over whenever this box should serve it, and serves it until the epoch ends.
 pub async fn run_shard(ctx: Arc<ShardContext>, keeper: Arc<ShardKeeper>) {
     let shard = keeper.shard();
     let mut no_plan_since = None;
@@ -190,7 +191,7 @@
     );
 }
 
-/// Returns once the store names a later plan.
+/// Returns once the assignments contain another plan with the same or a higher token.
 async fn superseded(ctx: &ShardContext, shard: ShardIndex, epoch: &EpochId) {
     let mut changes = ctx.view.changes();
     loop {
@@ -285,7 +286,7 @@
     })?;
     let Some(stored) = stored else { return Ok(None) };
     let plan = stored.parse().map_err(|error| {
-        log::warn!(target: "shard", shard = shard.get(), error:% = error; "plan refused");
+        log::warn!(target: "shard", shard = shard.get(), error:% = error; "stored plan is invalid");
     })?;
     let read = VersionedPlan { revision: stored.revision, plan };
     record_plan(ctx, shard, read.clone());
--- a/crates/xtask/src/mutate.rs
+++ b/crates/xtask/src/mutate.rs
@@ -188,8 +188,8 @@
     Mutation {
         name: "platform: a slow copy ends the epoch while the store is away",
         file: "crates/shards/src/log_writer.rs",
-        from: "let again = !refused && !ctx.view.store_state().up;",
-        to: "let again = false && !refused;",
+        from: "let retry = !refused && !ctx.view.store_state().up;",
+        to: "let retry = false && !refused;",
         package: "platform-standin",
         test: "slow_copy_is_awaited_during_store_outage",
     },
