--- a/crates/bench/src/beats.rs
+++ b/crates/bench/src/beats.rs
@@ -87,7 +87,7 @@
         }
         processing_time += started.elapsed();
         for (from, out) in heartbeats {
-            let wire = heartbeat_to_wire(&out.beat, Generation::new(7));
+            let wire = heartbeat_to_wire(&out.heartbeat, Generation::new(7));
             let bytes = wire.encoded_len() as u64 + PACKET_BYTES;
             if second > WARM_UP_SECONDS {
                 counts.entry(from).or_default().sent += bytes;
@@ -95,7 +95,7 @@
             }
             let started = Instant::now();
             if let Some(table) = tables.get_mut(&out.to) {
-                table.receive_heartbeat(now, out.beat);
+                table.receive_heartbeat(now, out.heartbeat);
             }
             processing_time += started.elapsed();
             heartbeat_count += 1;
--- a/crates/shards/src/claim.rs
+++ b/crates/shards/src/claim.rs
@@ -67,7 +67,7 @@
     held_elsewhere: Mutex<bool>,
     /// Set while an action on the lease is in flight.
     busy: Mutex<bool>,
-    /// Until when this box leaves the lease to other boxes.
+    /// Until then this box leaves the lease to other boxes.
     unfit_until: Mutex<Moment>,
 }
 
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Returns whether this box holds the lease, or may hold it as far as it has been read.
+    /// Returns `false` if the last read or write showed that this box does not hold the lease.
     fn may_hold(&self) -> bool {
         !*lock(&self.held_elsewhere)
     }
@@ -149,7 +149,7 @@
     };
     let report = ctx.peers.lease_report(&lease.subject.to_string());
     let reported_at =
-        report.map_or(observed.seen_at, |report| report.heard_at.max(observed.seen_at));
+        report.map_or(observed.seen_at, |report| report.received_at.max(observed.seen_at));
     let unreported_for = ctx.view.now().since(reported_at);
     ctx.view.store_state().up && unreported_for >= TERM * u32::try_from(rank).unwrap_or(u32::MAX)
 }
@@ -165,7 +165,7 @@
     let action = {
         let mut claim = lock(&lease.claim);
         // A lease with a live holder needs no read.
-        let is_live = report.as_ref().is_some_and(|report| now.since(report.heard_at) < TERM);
+        let is_live = report.as_ref().is_some_and(|report| now.since(report.received_at) < TERM);
         if is_live && !claim.is_held() && !lease.may_hold() {
             return;
         }
@@ -254,7 +254,7 @@
     }
 }
 
-/// A response about a lease shows that the store is reachable, often earlier than a watch does.
+/// Marks the store as reachable if it responded about a lease, often earlier than a watch does.
 fn record_store_response(ctx: &ShardContext, answered: bool) {
     if answered {
         ctx.view.store_answered(Kind::Leases, true);
@@ -272,7 +272,7 @@
         target: "conductor", lease:% = lease.subject, token = token.get(),
         after:% = before.map_or("none", |record| record.holder.as_str()),
         wait_ms = whole_millis(from.since(now));
-        "lease held"
+        "lease acquired"
     );
 }
 
--- a/crates/xtask/src/mutate.rs
+++ b/crates/xtask/src/mutate.rs
@@ -188,8 +188,8 @@
     Mutation {
         name: "platform: a slow copy ends the epoch during a store outage",
         file: "crates/shards/src/log_writer.rs",
-        from: "let again = !refused && !ctx.view.store_state().up;",
-        to: "let again = false && !refused;",
+        from: "let retry = !refused && !ctx.view.store_state().up;",
+        to: "let retry = false && !refused;",
         package: "platform-standin",
         test: "slow_copy_is_awaited_during_store_outage",
     },
@@ -716,8 +716,8 @@
     Mutation {
         name: "platform: the engines that a model needs grow with the fleet",
         file: "crates/swaps/src/shares.rs",
-        from: "MIN_ENGINES + (filled * ENGINES_PER_FULL).ceil() as usize",
-        to: "MIN_ENGINES + (filled * ENGINES_PER_FULL * 1e6).ceil() as usize",
+        from: "MIN_ENGINES + (filled * HEADROOM_FACTOR).ceil() as usize",
+        to: "MIN_ENGINES + (filled * HEADROOM_FACTOR * 1e6).ceil() as usize",
         package: "swaps",
         test: "a_larger_fleet_needs_no_more_engines",
     },
