--- a/crates/gannetwayd/src/clock.rs
+++ b/crates/gannetwayd/src/clock.rs
@@ -29,11 +29,10 @@
     }
 }
 
-/// Returns an incarnation number that is larger than that of any earlier start of this box.
+/// Returns the incarnation number of this start of the box.
 ///
-/// Boxes have no persistent state, so the number is taken from the wall clock at start. If the
-/// clock was set back, the number may be lower than that of an earlier start; peers then ignore
-/// the box.
+/// Boxes have no persistent state, so the number is taken from the wall clock. It is larger than
+/// that of any earlier start unless the clock was set back; in that case peers ignore the box.
 pub fn incarnation_from_wall_clock() -> Incarnation {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
     Incarnation::new(whole_millis(since))
--- a/crates/gannetwayd/src/context.rs
+++ b/crates/gannetwayd/src/context.rs
@@ -57,7 +57,7 @@
     pub request: Request,
     /// Receives the response.
     pub sink: ResponseSink,
-    /// Cancelled when the caller disconnects.
+    /// Cancelled when the caller drops the response.
     pub cancel: CancellationToken,
 }
 
@@ -96,7 +96,7 @@
     pub control: Handle,
     /// Runtime for traffic.
     pub traffic: Handle,
-    /// Whether the last request to the platform succeeded.
+    /// Whether the last list or watch request to the platform succeeded.
     pub platform_available: AtomicBool,
     /// Queue of requests that this box sends to itself.
     pub local: mpsc::UnboundedSender<LocalRequest>,
--- a/crates/gannetwayd/src/coordinator.rs
+++ b/crates/gannetwayd/src/coordinator.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// Coordinates the rollouts of this box.
+/// Coordinates the rollouts in this box's failure domain while it holds the lease.
 #[derive(Debug, Actor)]
 pub struct CoordinatorActor {
     ctx: BoxContext,
@@ -159,6 +159,8 @@
         owner.is_some_and(|owner| owner.id == self.ctx.me.id)
     }
 
+    /// Returns the pool's engines in this domain that are not leaving, and whether each one checks
+    /// fencing tokens.
     fn replicas_here(&self, spec: &PoolSpec) -> Vec<(TargetId, bool)> {
         let documents = self.ctx.documents.borrow();
         let records = spec.engines.iter().filter_map(|id| documents.target(id));
@@ -232,8 +234,8 @@
     });
 }
 
-/// Returns `Some(true)` when done, `Some(false)` when refused or definitely not run, and `None`
-/// when the outcome is unknown.
+/// Sends an order to the engine's home. Returns `Some(true)` when done, `Some(false)` when refused
+/// or definitely not run, and `None` when the outcome is unknown.
 async fn order_at_home(ctx: &BoxContext, order: &SwapOrder) -> Option<bool> {
     let body = request::Body::SwapOrder(peer::SwapOrder {
         target: order.target.to_string(),
--- a/crates/gannetwayd/src/daemon.rs
+++ b/crates/gannetwayd/src/daemon.rs
@@ -179,18 +179,18 @@
         };
         let snapshots =
             adopt.snapshots.iter().filter_map(|snapshot| serde_json::to_vec(snapshot).ok());
-        let take = TakeOver {
+        let take_over = TakeOver {
             pool: key.pool.to_string(),
             trainer: key.trainer.to_string(),
             token: adopt.token.get(),
             snapshots: snapshots.collect(),
         };
-        let request = new_request(request::Body::TakeOver(take), "", HAND_OVER_TIMEOUT);
-        let taken = match ctx.call(&location, request).await {
+        let request = new_request(request::Body::TakeOver(take_over), "", HAND_OVER_TIMEOUT);
+        let result = match ctx.call(&location, request).await {
             Ok(mut stream) => stream.next(HAND_OVER_TIMEOUT).await.map(|_end| ()),
             Err(error) => Err(error),
         };
-        match taken {
+        match result {
             Ok(()) => {
                 log::info!(target: "keeper", trainer:% = key, to:? = location; "steps handed over");
             }
--- a/crates/gannetwayd/src/documents.rs
+++ b/crates/gannetwayd/src/documents.rs
@@ -1,8 +1,8 @@
 //! Tracks the configuration and the target list from the platform and from peers.
 //!
-//! In each failure domain, only the watchers watch the platform. Other boxes learn of generations
-//! from heartbeats and fetch newer documents from the peer that reported them. Every box reads the
-//! platform once at start.
+//! In each failure domain, only a few boxes, the watchers, watch the platform. Other boxes learn of
+//! generations from heartbeats and fetch newer documents from the peer that reported them. Every
+//! box reads the platform once at start.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -244,12 +244,12 @@
                     return;
                 }
             }
-            Err(error) => pause_after(kind, &error).await,
+            Err(error) => pause_after_error(kind, &error).await,
         }
     }
 }
 
-async fn pause_after(kind: ObjectKind, error: &StoreError) {
+async fn pause_after_error(kind: ObjectKind, error: &StoreError) {
     log::debug!(target: "config", kind:% = kind, error:% = error; "reading the platform failed");
     let pause = rand::rng().random_range(RETRY_DELAY_MS);
     time::sleep(Duration::from_millis(pause)).await;
@@ -289,7 +289,7 @@
 fn target_list(listed: ListedObjects) -> TargetList {
     let records = listed.objects.into_iter().filter_map(|object| {
         serde_json::from_value::<TargetRecord>(object.value)
-            .map_err(|error| log::warn!(target: "config", name:% = object.name, error:% = error; "listed target skipped"))
+            .map_err(|error| log::warn!(target: "config", name:% = object.name, error:% = error; "invalid entry in the list of targets skipped"))
             .ok()
     });
     TargetList { revision: Generation::new(listed.revision), targets: records.collect() }
--- a/crates/gannetwayd/src/home.rs
+++ b/crates/gannetwayd/src/home.rs
@@ -18,13 +18,14 @@
 
 use crate::context::BoxContext;
 
-/// Polling interval of an engine; expired admission requests are removed at the same interval.
+/// Polling interval of a serving engine; expired admission requests are removed at the same
+/// interval.
 const READ_INTERVAL: Duration = Duration::from_millis(500);
-/// Polling interval while the replica's state is in doubt or unread.
+/// Polling interval while the replica is not serving.
 const DOUBT_READ_INTERVAL: Duration = Duration::from_millis(100);
 /// Number of consecutive failed polls after which an engine is unreachable.
 const MAX_FAILED_READS: u32 = 2;
-/// Maximum number of concurrent plain requests at one target.
+/// Maximum number of concurrent requests at a plain service or scorer.
 const MAX_PLAIN_REQUESTS: usize = 256;
 /// Maximum number of concurrent requests at an engine that is in no pool.
 const DEFAULT_ENGINE_LIMIT: usize = 16;
--- a/crates/gannetwayd/src/http/commands.rs
+++ b/crates/gannetwayd/src/http/commands.rs
@@ -168,13 +168,14 @@
     let spec: PoolSpec = read_json(&body)?;
     spec.check().map_err(|error| ErrorBody::new(ErrorKind::BadRequest, error.to_string()))?;
     if spec.name.as_str() != pool {
-        let message = format!("the path names pool {pool} and the body {}: name one", spec.name);
+        let message =
+            format!("the path names pool {pool} and the body {}: use the same name", spec.name);
         return Err(ErrorBody::new(ErrorKind::BadRequest, message).into());
     }
     let write_id = query.write_id.unwrap_or_else(|| new_request_id().to_string());
     let applied = apply::apply_pool(&state.ctx.store, spec, query.if_generation, &write_id).await?;
     let generation = applied.config.generation;
-    log::info!(target: "config", pool:% = pool, generation:% = generation, write:% = write_id; "change accepted");
+    log::info!(target: "config", pool:% = pool, generation:% = generation, write:% = write_id; "pool change accepted");
     // Sending fails only when the box stops; the change is already stored on the platform.
     let _stopped = state.documents.tell(OfferConfig(applied.config)).await;
     json_with_digest(&AppliedBody { generation })
--- a/crates/gannetwayd/src/http/plain.rs
+++ b/crates/gannetwayd/src/http/plain.rs
@@ -43,7 +43,7 @@
 /// Slack added to the request's time left before the call to the home times out.
 const IDLE_TIMEOUT_SLACK: Duration = Duration::from_millis(250);
 
-/// Chooses targets of plain services by the outcomes of earlier requests.
+/// Chooses targets of plain services by the outcomes of earlier requests, and limits retries.
 #[derive(Debug)]
 pub struct PlainRouter {
     chooser: Mutex<TargetChooser>,
@@ -118,7 +118,7 @@
         // Safe HTTP methods change nothing and may be repeated.
         None => method.is_safe(),
     };
-    let time = match text(DEADLINE_HEADER) {
+    let timeout = match text(DEADLINE_HEADER) {
         Some(ms) => Duration::from_millis(read_value(ms)?).min(MAX_REQUEST_TIMEOUT),
         None => DEFAULT_REQUEST_TIMEOUT,
     };
@@ -128,7 +128,7 @@
         request_id: request_id.clone(),
         traceparent: span.traceparent().to_owned(),
         repeatable,
-        deadline: state.ctx.clock.now() + time,
+        deadline: state.ctx.clock.now() + timeout,
         call: PlainCall {
             target: String::new(),
             method: method.to_string(),
@@ -156,8 +156,8 @@
 }
 
 impl PlainRun<'_> {
-    /// Tries targets until one responds, the request may have run, or the retry budget or the
-    /// deadline is exhausted.
+    /// Tries targets until one responds, a retry is unsafe, the retry budget is exhausted, or no
+    /// time is left for a retry.
     async fn run_with_retries(&self, service: &ServiceName) -> Result<PlainPart, ApiError> {
         lock(&self.state.plain.budget).record_attempt();
         let mut retry = 0;
--- a/crates/gannetwayd/src/http/queries.rs
+++ b/crates/gannetwayd/src/http/queries.rs
@@ -116,9 +116,9 @@
 fn cannot(ctx: &BoxContext) -> Vec<String> {
     let mut cannot = Vec::new();
     if !ctx.platform_available.load(Ordering::Relaxed) {
-        let lost = "platform does not answer: no change of configuration is accepted, no swap is \
+        let text = "platform does not answer: no change of configuration is accepted, no swap is \
                     ordered once leases run out; steps are kept and requests served";
-        cannot.push(lost.to_owned());
+        cannot.push(text.to_owned());
     }
     let now = ctx.clock.now();
     let members = ctx.members.borrow();
--- a/crates/gannetwayd/src/http/response.rs
+++ b/crates/gannetwayd/src/http/response.rs
@@ -69,8 +69,9 @@
     async fn from_request(req: Request, state: &S) -> Result<Self, ApiError> {
         let body = Bytes::from_request(req, state).await;
         body.map(Self).map_err(|rejection| {
-            let message =
-                format!("the body was rejected ({rejection}): send at most 8 MiB, complete");
+            let message = format!(
+                "the body was rejected ({rejection}): send the complete body, at most 8 MiB"
+            );
             ApiError(ErrorBody::new(ErrorKind::BadRequest, message))
         })
     }
--- a/crates/gannetwayd/src/keeper/actor.rs
+++ b/crates/gannetwayd/src/keeper/actor.rs
@@ -206,7 +206,7 @@
                 log::info!(target: "keeper", trainer:% = self.key, token:% = token; "keeper active");
             }
             None => {
-                log::info!(target: "keeper", trainer:% = self.key; "stepped down");
+                log::info!(target: "keeper", trainer:% = self.key; "keeper no longer active");
             }
         }
     }
--- a/crates/gannetwayd/src/keeper/attempt.rs
+++ b/crates/gannetwayd/src/keeper/attempt.rs
@@ -22,7 +22,7 @@
 const QUEUE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Timeout for the first response item from the home.
 const ADMISSION_TIMEOUT: Duration = Duration::from_secs(7);
-/// Idle timeout within the stream; longer than the home's own timeout for the engine.
+/// Idle timeout within the stream; longer than the home's idle timeout for the engine's stream.
 const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(6);
 /// Timeout of one request to a scorer.
 const SCORE_TIMEOUT: Duration = Duration::from_secs(5);
@@ -42,11 +42,11 @@
     span.set_attribute("slot", i64::from(placement.assignment.slot.get()));
     span.set_attribute("target", placement.target.to_string());
     let mut run = AttemptRun { ctx, key, placement, window, hint: None, span };
-    let end = match run.generate().await {
+    let outcome = match run.generate().await {
         Ok((spans, text)) => run.score_sample(spans, text).await,
-        Err(end) => end,
+        Err(outcome) => outcome,
     };
-    (end, run.hint)
+    (outcome, run.hint)
 }
 
 struct AttemptRun<'a> {
--- a/crates/gannetwayd/src/logs.rs
+++ b/crates/gannetwayd/src/logs.rs
@@ -1,4 +1,5 @@
-//! Log output: one line per event, with the part's name as prefix and key-value pairs at the end.
+//! Log output: one line per event, with the time, the level, the name of the part, the message and
+//! the key-value pairs.
 
 use std::time::SystemTime;
 use std::{fmt, io};
--- a/crates/gannetwayd/src/main.rs
+++ b/crates/gannetwayd/src/main.rs
@@ -47,7 +47,7 @@
 }
 
 fn run(settings: Settings) -> io::Result<usize> {
-    // Must run before any runtime is created, since the exporter blocks on its own thread.
+    // Must run outside of any runtime, since the exporter uses a blocking HTTP client.
     let tracer = HopTracer::new(settings.box_id.as_str(), settings.otlp.as_deref())
         .map_err(io::Error::other)?;
     let traffic = Builder::new_multi_thread()
--- a/crates/gannetwayd/src/members.rs
+++ b/crates/gannetwayd/src/members.rs
@@ -87,8 +87,8 @@
             heartbeats.extend(self.bootstrap_heartbeats(&heartbeats, generation));
         }
         for OutgoingHeartbeat { to, beat } in heartbeats {
-            let beat = heartbeat_to_wire(&beat, revision);
-            self.send(to, beat);
+            let heartbeat = heartbeat_to_wire(&beat, revision);
+            self.send(to, heartbeat);
         }
     }
 
@@ -102,7 +102,7 @@
             return Vec::new();
         }
         let me = &self.ctx.me;
-        let beat = Heartbeat {
+        let heartbeat = Heartbeat {
             from: me.id.clone(),
             incarnation: me.incarnation,
             leaving: false,
@@ -111,15 +111,17 @@
             relayed: Vec::new(),
         };
         let peers = self.ctx.settings.peers.iter();
-        peers.map(|peer| OutgoingHeartbeat { to: peer.to_string(), beat: beat.clone() }).collect()
+        peers
+            .map(|peer| OutgoingHeartbeat { to: peer.to_string(), beat: heartbeat.clone() })
+            .collect()
     }
 
-    fn send(&self, to: String, beat: BoxHeartbeat) {
-        let bytes = prost::Message::encoded_len(&beat);
+    fn send(&self, to: String, heartbeat: BoxHeartbeat) {
+        let bytes = prost::Message::encoded_len(&heartbeat);
         self.ctx.metrics.heartbeat_bytes.inc_by(bytes as u64);
         let ctx = Arc::clone(&self.ctx);
         self.ctx.traffic.spawn(async move {
-            if let Err(error) = ctx.links.send_heartbeat(&to, beat).await {
+            if let Err(error) = ctx.links.send_heartbeat(&to, heartbeat).await {
                 log::debug!(target: "members", to:% = to, error:% = error; "heartbeat not sent");
             }
         });
@@ -198,7 +200,7 @@
                 LIST_INTERVAL
             }
             Err(error) => {
-                log::debug!(target: "members", error:% = error; "list of boxes not read");
+                log::debug!(target: "members", error:% = error; "reading the list of boxes failed");
                 LIST_RETRY_DELAY
             }
         };
@@ -212,7 +214,7 @@
 /// heartbeats supersedes the record.
 fn listed_box(object: StoredObject) -> Option<MemberRecord> {
     let listed: ListedBox = serde_json::from_value(object.value)
-        .map_err(|error| log::warn!(target: "members", name:% = object.name, error:% = error; "listed box skipped"))
+        .map_err(|error| log::warn!(target: "members", name:% = object.name, error:% = error; "invalid entry in the list of boxes skipped"))
         .ok()?;
     Some(MemberRecord {
         id: listed.id,
--- a/crates/gannetwayd/src/metrics.rs
+++ b/crates/gannetwayd/src/metrics.rs
@@ -19,9 +19,9 @@
     NotRun,
     /// The response was interrupted or invalid.
     Unusable,
-    /// The sample was too old on completion.
+    /// The sample became older than the staleness bound allows.
     TooOld,
-    /// The slot was filled by another attempt.
+    /// The slot was filled by, or assigned to, another attempt.
     Superseded,
 }
 
@@ -83,7 +83,7 @@
 }
 
 /// Creates a histogram with exponential buckets from 1 ms to 16 s.
-fn seconds() -> Histogram {
+fn duration_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.001, 2.0, 15))
 }
 
@@ -100,8 +100,8 @@
             live_boxes: Gauge::default(),
             heartbeat_bytes: Counter::default(),
             lease_changes: Counter::default(),
-            call_seconds: seconds(),
-            pull_wait_seconds: seconds(),
+            call_seconds: duration_histogram(),
+            pull_wait_seconds: duration_histogram(),
             tokens: Counter::default(),
         };
         metrics.register();
--- a/crates/gannetwayd/src/peer.rs
+++ b/crates/gannetwayd/src/peer.rs
@@ -42,7 +42,7 @@
     pub traceparent: String,
     /// Time left when the request arrived.
     pub time_left: Duration,
-    /// Cancelled when the caller disconnects.
+    /// Cancelled when the caller drops the call or disconnects.
     pub cancel: CancellationToken,
 }
 
@@ -71,7 +71,7 @@
             request::Body::AdvanceStep(advance) => step::advance(&incoming, advance, sink).await,
             request::Body::CloseStep(close) => step::close(&incoming, close, sink).await,
             request::Body::StepStatus(status) => step::status(&incoming, status, sink).await,
-            request::Body::TakeOver(take) => step::take_over(&incoming, take, sink).await,
+            request::Body::TakeOver(steps) => step::take_over(&incoming, steps, sink).await,
             request::Body::Generate(generate) => target::generate(&incoming, generate, sink).await,
             request::Body::PlainCall(call) => target::plain(&incoming, call, sink).await,
             request::Body::Score(score) => target::score(&incoming, score, sink).await,
@@ -85,13 +85,13 @@
         }
     }
 
-    async fn handle_heartbeat(&self, beat: BoxHeartbeat) {
-        let generations = parse_id(&beat.box_id).map(|peer| PeerGenerations {
+    async fn handle_heartbeat(&self, heartbeat: BoxHeartbeat) {
+        let generations = parse_id(&heartbeat.box_id).map(|peer| PeerGenerations {
             peer,
-            config: ids::Generation::new(beat.config_generation),
-            targets: ids::Generation::new(beat.targets_revision),
+            config: ids::Generation::new(heartbeat.config_generation),
+            targets: ids::Generation::new(heartbeat.targets_revision),
         });
-        let heartbeat = match heartbeat_from_wire(beat) {
+        let heartbeat = match heartbeat_from_wire(heartbeat) {
             Ok(heartbeat) => heartbeat,
             Err(error) => {
                 log::warn!(target: "members", error:% = error; "invalid heartbeat ignored");
@@ -119,7 +119,7 @@
         let documents = self.ctx.documents.borrow().clone();
         let newer_config = documents.config.generation.get() > fetch.config_generation;
         let newer_targets = documents.targets.list().revision.get() > fetch.targets_revision;
-        // Send only changes to the peer, since most configuration changes affect one pool.
+        // Send only the pools that the peer lacks, since most changes affect a single pool.
         let base = ids::Generation::new(fetch.config_generation);
         let config = encode_if(newer_config, &documents.config.since(base));
         let targets = encode_if(newer_targets, documents.targets.list());
--- a/crates/gannetwayd/src/refuse.rs
+++ b/crates/gannetwayd/src/refuse.rs
@@ -11,8 +11,8 @@
 use targets::TargetError;
 use wire::peer::{Refused, RefusedKind, TargetLoad};
 
-/// Retry delay reported when a keeper or a target is temporarily unavailable.
-const KEEPER_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Retry delay reported when a box, a keeper or a target is temporarily unavailable.
+const UNAVAILABLE_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Maximum relative jitter added to Retry-After, so that callers do not retry simultaneously.
 const RETRY_JITTER: f64 = 1.0;
 
@@ -31,8 +31,8 @@
 ];
 
 fn reason_name(reason: NotRun) -> &'static str {
-    let same = |known: NotRun| std::mem::discriminant(&known) == std::mem::discriminant(&reason);
-    REASONS.iter().find(|(_, known)| same(*known)).map_or("unreachable", |(name, _)| name)
+    let same = |other: NotRun| std::mem::discriminant(&other) == std::mem::discriminant(&reason);
+    REASONS.iter().find(|(_, other)| same(*other)).map_or("unreachable", |(name, _)| name)
 }
 
 /// Converts a refusal to its wire form, with the target's load if known.
@@ -69,7 +69,9 @@
 pub fn wire_target_error(error: &TargetError) -> Refused {
     let refusal = match error {
         TargetError::NotSent => Refusal::not_run(NotRun::Unreachable, Duration::ZERO),
-        TargetError::Refused(_) => Refusal::not_run(NotRun::RefusedByTarget, KEEPER_RETRY_DELAY),
+        TargetError::Refused(_) => {
+            Refusal::not_run(NotRun::RefusedByTarget, UNAVAILABLE_RETRY_DELAY)
+        }
         TargetError::Broken(_) => Refusal::Unknown,
     };
     Refused { message: error.to_string(), ..wire_refusal(&refusal, None) }
@@ -79,7 +81,7 @@
 pub fn wire_call_error(error: CallError) -> Refused {
     match error {
         CallError::Refused(refused) => *refused,
-        CallError::NotSent { .. } => wire_not_run(NotRun::Unreachable, KEEPER_RETRY_DELAY),
+        CallError::NotSent { .. } => wire_not_run(NotRun::Unreachable, UNAVAILABLE_RETRY_DELAY),
         CallError::Broken { .. } | CallError::LinkLost => {
             Refused { message: error.to_string(), ..wire_refusal(&Refusal::Unknown, None) }
         }
@@ -91,14 +93,14 @@
     let (kind, retry_after) = match refusal {
         KeeperRefusal::NotKeeping { .. }
         | KeeperRefusal::Ledger(LedgerError::Superseded { .. }) => {
-            (RefusedKind::NotKept, KEEPER_RETRY_DELAY)
+            (RefusedKind::NotKept, UNAVAILABLE_RETRY_DELAY)
         }
         KeeperRefusal::NotOpen { .. }
         | KeeperRefusal::TooManySteps { .. }
         | KeeperRefusal::Ledger(LedgerError::OtherBody { .. }) => {
             (RefusedKind::Conflict, Duration::ZERO)
         }
-        KeeperRefusal::NotInPool { .. } => (RefusedKind::NotRun, KEEPER_RETRY_DELAY),
+        KeeperRefusal::NotInPool { .. } => (RefusedKind::NotRun, UNAVAILABLE_RETRY_DELAY),
         KeeperRefusal::Ledger(LedgerError::Spec(_) | LedgerError::NoSuchSlot { .. }) => {
             (RefusedKind::BadRequest, Duration::ZERO)
         }
@@ -146,7 +148,7 @@
         RefusedKind::Conflict if refused.reason == NOT_OPEN => ErrorKind::NotOpen,
         RefusedKind::Conflict => ErrorKind::Conflict,
     };
-    let pause = Duration::from_millis(refused.retry_after_ms);
-    let jittered = pause.mul_f64(1.0 + RETRY_JITTER * random.clamp(0.0, 1.0));
+    let retry_after = Duration::from_millis(refused.retry_after_ms);
+    let jittered = retry_after.mul_f64(1.0 + RETRY_JITTER * random.clamp(0.0, 1.0));
     ErrorBody { kind, message: refused.message.clone(), retry_after_ms: whole_millis(jittered) }
 }
--- a/crates/gannetwayd/src/route.rs
+++ b/crates/gannetwayd/src/route.rs
@@ -24,14 +24,14 @@
 const DOMAIN_RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Delay between attempts to find a keeper.
 const LOOKUP_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// How long an address that failed is not tried again as a keeper.
+/// How long a keeper address is not tried again after a failed call.
 const FAILED_KEEPER_BACKOFF: Duration = Duration::from_secs(2);
-/// Timeout for the receipt of a request to be acknowledged. Detects frozen or partitioned boxes,
-/// whose connections may stay open.
+/// Timeout for a box to acknowledge that it received a request. Detects frozen or partitioned
+/// boxes, whose connections may stay open.
 const ACK_TIMEOUT: Duration = Duration::from_millis(400);
 /// Time for one call to a keeper, in addition to the request's own wait.
 const KEEPER_CALL_TIMEOUT: Duration = Duration::from_millis(750);
-/// Slack added to a call's time before its response stream counts as idle.
+/// Slack added to a call's time left before its response stream counts as idle.
 const IDLE_TIMEOUT_SLACK: Duration = Duration::from_millis(250);
 
 fn refused(refused: Refused) -> CallError {
@@ -54,8 +54,8 @@
     ctx.call(&location, request).await
 }
 
-/// Returns the home of a target in this domain, or a random live box of the target's domain.
-/// Returns `None` when no box of that domain is live.
+/// Returns the home of the target if it is in this box's domain, otherwise a random live box of
+/// the target's domain. Returns `None` when no box of that domain is live.
 pub fn home_location(ctx: &BoxContext, record: &TargetRecord) -> Option<BoxLocation> {
     let now = ctx.clock.now();
     let members = ctx.members.borrow();
@@ -81,7 +81,7 @@
     pub state: Option<StepState>,
 }
 
-/// Caches the addresses of keepers.
+/// Finds the keepers of steps and sends requests to them. Caches their addresses.
 #[derive(Debug, Clone, Default)]
 pub struct KeeperDirectory {
     cache: Arc<Mutex<KeeperCache>>,
--- a/crates/gannetwayd/src/serve/step.rs
+++ b/crates/gannetwayd/src/serve/step.rs
@@ -112,17 +112,17 @@
 }
 
 /// Adopts the steps of a box that stops.
-pub async fn take_over(incoming: &IncomingRequest<'_>, take: TakeOver, sink: ResponseSink) {
+pub async fn take_over(incoming: &IncomingRequest<'_>, steps: TakeOver, sink: ResponseSink) {
     let result = async {
         if incoming.ctx.is_leaving() {
             return Err(wire_not_run(NotRun::Stopping, Duration::ZERO));
         }
-        let key = key_of(&take.pool, &take.trainer)?;
+        let key = key_of(&steps.pool, &steps.trainer)?;
         let snapshots: Result<Vec<_>, _> =
-            take.snapshots.iter().map(|bytes| serde_json::from_slice(bytes)).collect();
+            steps.snapshots.iter().map(|bytes| serde_json::from_slice(bytes)).collect();
         let snapshots = snapshots.map_err(|error| wire_bad_request(error.to_string()))?;
         let handle = incoming.ctx.keepers.get_or_start(incoming.ctx, &key);
-        let adopt = AdoptSteps { snapshots, token: FencingToken::new(take.token) };
+        let adopt = AdoptSteps { snapshots, token: FencingToken::new(steps.token) };
         handle.actor.tell(adopt).await.map_err(|_stopped| stopping_refusal())
     };
     match result.await {
@@ -153,8 +153,8 @@
     documents.config.pool(&key.pool).is_some_and(|pool| pool.trainers.contains(&key.trainer))
 }
 
-/// Returns the keeper on this box. It is started only if the sender asks this box to claim the
-/// lease.
+/// Returns the keeper on this box, the step's number and the highest token that the trainer has
+/// seen. The keeper is started only if the sender asks this box to claim the lease.
 fn find_keeper(
     incoming: &IncomingRequest<'_>,
     step: Option<&StepRef>,
@@ -222,8 +222,8 @@
     pull: peer::PullStep,
 ) -> ServeResult<PullReply> {
     let (handle, step, seen) = find_keeper(incoming, pull.step.as_ref())?;
-    let most = usize::try_from(pull.max_samples).unwrap_or(MAX_SAMPLES).clamp(1, MAX_SAMPLES);
-    let pull_request = Pull { held: SlotSet::from_bytes(pull.held), seen, max_samples: most };
+    let limit = usize::try_from(pull.max_samples).unwrap_or(MAX_SAMPLES).clamp(1, MAX_SAMPLES);
+    let pull_request = Pull { held: SlotSet::from_bytes(pull.held), seen, max_samples: limit };
     let mut changes = handle.changes.clone();
     let wait = Duration::from_millis(pull.wait_ms);
     let wait = wait.min(incoming.time_left.saturating_sub(RESPONSE_TIME_RESERVE));
--- a/crates/gannetwayd/src/serve/target.rs
+++ b/crates/gannetwayd/src/serve/target.rs
@@ -1,7 +1,8 @@
 //! Handles requests for a target at its home.
 //!
-//! A box of the target's domain that is not the home forwards the request, at most once. The home
-//! admits it, sends it to the target once, and streams the response back.
+//! A box of the target's domain that is not the home forwards samples, plain requests and scores,
+//! at most once. The home admits them, sends them to the target once, and streams the response
+//! back. Swap orders and state reads are sent to the engine by the box that receives them.
 
 use std::time::Duration;
 
@@ -34,8 +35,8 @@
 
 /// Minimum idle timeout for the response to a forwarded request.
 const FORWARD_IDLE_TIMEOUT: Duration = Duration::from_secs(8);
-/// Retry delay reported to callers when a target is not in the list.
-const UNKNOWN_TARGET_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Retry delay reported to callers when this box does not serve the target.
+const NOT_SERVED_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 type ServeResult<T> = Result<T, Refused>;
 
@@ -61,10 +62,10 @@
 fn find_record(ctx: &BoxContext, target: &str) -> ServeResult<TargetRecord> {
     let id: TargetId = parse_id(target).map_err(|error| wire_bad_request(error.to_string()))?;
     let record = ctx.documents.borrow().target(&id).cloned();
-    let record = record.ok_or_else(|| wire_not_run(NotRun::Unknown, UNKNOWN_TARGET_RETRY_DELAY))?;
+    let record = record.ok_or_else(|| wire_not_run(NotRun::Unknown, NOT_SERVED_RETRY_DELAY))?;
     if record.domain != ctx.me.domain {
         // Targets are reachable only from boxes of their own domain.
-        return Err(wire_not_run(NotRun::Unreachable, UNKNOWN_TARGET_RETRY_DELAY));
+        return Err(wire_not_run(NotRun::Unreachable, NOT_SERVED_RETRY_DELAY));
     }
     Ok(record)
 }
@@ -248,8 +249,8 @@
     if stamp == Some(version) {
         return;
     }
-    // If the mailbox is full, it already contains a reading, which resolves the doubt as well.
-    let _busy = home.actor.tell(StampContradicted).try_send();
+    // If the mailbox is full, the report is lost; a later chunk or poll corrects the status.
+    let _unsent = home.actor.tell(StampContradicted).try_send();
 }
 
 /// Sends a plain request, once.
@@ -337,7 +338,7 @@
     let lifetime = Duration::from_millis(order.life_ms).min(incoming.time_left);
     let begin = BeginOrder { version, deadline: incoming.ctx.clock.now() + lifetime };
     if home.actor.ask(begin).await.is_err() {
-        return sink.refuse(wire_not_run(NotRun::Stopping, UNKNOWN_TARGET_RETRY_DELAY)).await;
+        return sink.refuse(wire_not_run(NotRun::Stopping, NOT_SERVED_RETRY_DELAY)).await;
     }
     let engine = EngineClient::new(&record.address, incoming.ctx.control_http.clone());
     let request = OrderRequest {
--- a/crates/gannetwayd/src/settings.rs
+++ b/crates/gannetwayd/src/settings.rs
@@ -58,7 +58,7 @@
     /// Log level: error, warn, info, debug or trace.
     #[arg(long, env = "GANNETWAY_LOG", default_value = "info")]
     pub log: String,
-    /// Collector for traces (OTLP over HTTP), as http://IP:PORT/v1/traces; none keeps traces off.
+    /// Collector for traces (OTLP over HTTP), as http://IP:PORT/v1/traces; if unset, none are sent.
     #[arg(long, env = "GANNETWAY_OTLP")]
     pub otlp: Option<String>,
 }
--- a/crates/gannetwayd/src/trace.rs
+++ b/crates/gannetwayd/src/trace.rs
@@ -28,7 +28,7 @@
 
 impl HopTracer {
     /// Creates a tracer for `box_id` that exports to `otlp`, if given. Must be called outside of a
-    /// runtime, since the exporter starts its own thread.
+    /// runtime, since the exporter uses a blocking HTTP client.
     pub fn new(box_id: &str, otlp: Option<&str>) -> Result<Self, ExporterBuildError> {
         let resource = Resource::builder()
             .with_service_name("gannetwayd")
--- a/crates/gannetwayd/tests/apply.rs
+++ b/crates/gannetwayd/tests/apply.rs
@@ -89,7 +89,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn change_with_lost_answer_is_applied_once() {
+async fn change_with_lost_response_is_applied_once() {
     let store = ScriptedStore::with(&[WriteFault::LostResponse]);
     let applied = apply_pool(&store, pool(2), None, "w1").await.expect("the change is accepted");
     assert_eq!(applied.config.generation, Generation::new(1));
--- a/crates/xtask/src/mutate.rs
+++ b/crates/xtask/src/mutate.rs
@@ -175,7 +175,7 @@
         from: "if entry.write_id == write_id {",
         to: "if false {",
         package: "gannetwayd",
-        test: "lost_answer",
+        test: "lost_response",
     },
     Mutation {
         name: "9: an older generation is applied",
