--- a/crates/links/src/error.rs
+++ b/crates/links/src/error.rs
@@ -6,9 +6,9 @@
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum CallError {
     /// No connection could be used, and nothing was sent.
-    #[error("the box at {address} is unreachable and nothing was sent: try another box")]
+    #[error("{address} is unreachable and nothing was sent: try another box")]
     NotSent {
-        /// Address of the box.
+        /// Address of the box, or a description of it if the address is not known.
         address: String,
     },
     /// The request was sent, but its response is incomplete or invalid; it may have run.
--- a/crates/links/src/liveness.rs
+++ b/crates/links/src/liveness.rs
@@ -13,8 +13,8 @@
 const PING_DELAY: Duration = Duration::from_millis(150);
 /// Delay of the ping after a frame without a response, such as a box heartbeat.
 const ONE_WAY_PING_DELAY: Duration = Duration::from_secs(2);
-/// Maximum time between a ping and the next received frame. Allows for a TCP retransmission
-/// (200 ms), the round trip between distant domains (40 ms) and CPU quota throttling (100 ms).
+/// Maximum time between a ping and the next received frame. Allows for a TCP retransmission, the
+/// round trip between distant domains and CPU quota throttling.
 const PONG_TIMEOUT: Duration = Duration::from_millis(500);
 /// Unused links are closed after this time to free their descriptors and buffers on both sides.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
--- a/crates/links/src/pool.rs
+++ b/crates/links/src/pool.rs
@@ -23,12 +23,11 @@
 const WRITE_QUEUE_LEN: usize = 256;
 /// Maximum number of unread frames of one call.
 const RESPONSE_QUEUE_LEN: usize = 256;
-/// Timeout for connecting and authenticating. This takes three round trips, 120 ms between distant
-/// domains. It is short so that an attempt which started during a network cut soon gives way to
-/// the next one.
+/// Timeout for connecting and authenticating, which takes three round trips. Short, so that an
+/// attempt which started during a network cut soon gives way to the next one.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Maximum time that a request waits for room in the write queue of its peer.
+/// Maximum time that a request waits for room in the write queue of its connection.
 const QUEUE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Identity of this box towards its peers.
@@ -64,7 +63,7 @@
         lock(&self.0).is_empty()
     }
 
-    /// Drops all senders, so that every waiting call fails with [`CallError::LinkLost`].
+    /// Drops all senders, so that every open call fails with [`CallError::LinkLost`].
     fn fail_all(&self) {
         lock(&self.0).clear();
     }
--- a/crates/links/src/response.rs
+++ b/crates/links/src/response.rs
@@ -34,7 +34,8 @@
         Self { call, frames, checksum: ResponseChecksum::default() }
     }
 
-    /// Sends an item. Returns `false` if the connection is closed.
+    /// Sends an item. Returns `false` if the connection is closed or, within one box, the caller has
+    /// dropped the response.
     pub async fn item(&mut self, item: ResponseItem) -> bool {
         self.checksum.count(&item);
         self.send(Body::Item(item)).await
--- a/crates/links/tests/liveness.rs
+++ b/crates/links/tests/liveness.rs
@@ -5,8 +5,8 @@
 use links::{LinkAction, LinkLiveness};
 use tokio::time::{self, Instant};
 
-/// Maximum time from the first use of a dead link to its detection. This is two thirds of the
-/// time limit of a log append round, which leaves time for a retry on a new connection.
+/// Maximum time from the first use of a dead link to its detection. Shorter than the time limit of
+/// a log append round.
 const DETECTION_LIMIT: Duration = Duration::from_millis(700);
 
 /// Waits until an action other than waiting is due.
@@ -22,7 +22,7 @@
 #[tokio::test(start_paused = true)]
 async fn unresponsive_link_is_detected_in_time() {
     let mut liveness = LinkLiveness::new(Instant::now());
-    assert!(liveness.request_queued(Instant::now()), "a frame is expected from now on");
+    assert!(liveness.request_queued(Instant::now()), "the ping is due before the idle close");
     let requested_at = Instant::now();
     assert_eq!(next_due_action(&mut liveness).await, LinkAction::Ping);
     assert_eq!(next_due_action(&mut liveness).await, LinkAction::Dead);
--- a/crates/links/tests/responses.rs
+++ b/crates/links/tests/responses.rs
@@ -233,14 +233,14 @@
     let pool = pool("the-right-key-123");
     let large = "x".repeat(256 << 10);
     let mut streams = Vec::new();
-    let refused = loop {
+    let error = loop {
         match pool.call(&address, request(&large)).await {
             Ok(stream) => streams.push(stream),
             Err(error) => break error,
         }
         assert!(streams.len() < 2_000, "the queue accepted every request");
     };
-    assert!(refused.definitely_not_run(), "{refused}");
+    assert!(error.definitely_not_run(), "{error}");
     frozen.abort();
 }
 
