--- a/crates/gannetwayd/src/coordinator.rs
+++ b/crates/gannetwayd/src/coordinator.rs
@@ -241,7 +241,7 @@
         target: order.target.to_string(),
         version: order.version.get(),
         token: order.token.get(),
-        life_ms: wire_millis(order.ttl),
+        ttl_ms: wire_millis(order.ttl),
     });
     let called = call_home(ctx, &order.target, new_request(body, "", order.ttl)).await;
     let response = match called {
--- a/crates/gannetwayd/src/serve/target.rs
+++ b/crates/gannetwayd/src/serve/target.rs
@@ -335,7 +335,7 @@
     };
     let home = incoming.ctx.homes.home(incoming.ctx, &record);
     let version = ids::ModelVersion::new(order.version);
-    let lifetime = Duration::from_millis(order.life_ms).min(incoming.time_left);
+    let lifetime = Duration::from_millis(order.ttl_ms).min(incoming.time_left);
     let begin = BeginOrder { version, deadline: incoming.ctx.clock.now() + lifetime };
     if home.actor.ask(begin).await.is_err() {
         return sink.refuse(wire_not_run(NotRun::Stopping, NOT_SERVED_RETRY_DELAY)).await;
--- a/crates/node/src/feed/client.rs
+++ b/crates/node/src/feed/client.rs
@@ -226,8 +226,8 @@
     fn record_usage_ack(&self, peer: &StorageBox, version: TableVersion, page: &FeedPage) {
         let usage = &self.view.usage;
         usage.record_reported(&peer.box_id, Incarnation::new(page.incarnation), version);
-        if page.true_ms > 0 {
-            usage.follow_time(self.view.now(), UnixTime::new(page.true_ms));
+        if page.cluster_ms > 0 {
+            usage.follow_time(self.view.now(), UnixTime::new(page.cluster_ms));
         }
     }
 
--- a/crates/node/src/feed/serve.rs
+++ b/crates/node/src/feed/serve.rs
@@ -24,11 +24,11 @@
         let kinds = collect_updates(view, read, false);
         if !kinds.is_empty() || age >= max_age || Instant::now() >= until {
             let agreed = view.usage.is_time_agreed();
-            let true_ms = if agreed { view.usage.time_at(view.now()).millis() } else { 0 };
+            let cluster_ms = if agreed { view.usage.time_at(view.now()).millis() } else { 0 };
             let held_ms = millis(received_at.elapsed());
             let incarnation = view.usage.incarnation().get();
             let kinds = if kinds.is_empty() { collect_updates(view, read, true) } else { kinds };
-            return FeedPage { kinds, age_ms: millis(age), held_ms, true_ms, incarnation };
+            return FeedPage { kinds, age_ms: millis(age), held_ms, cluster_ms, incarnation };
         }
         let stale_at = Instant::now() + max_age.saturating_sub(age);
         // Re-evaluates after a change or a timeout.
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -8,7 +8,7 @@
 
 use crate::peer::Frame;
 
-/// Maximum length of a frame, in bytes. A step of 8,192 prompts and a plain request body fit.
+/// Maximum length of a frame, in bytes. The prompts of a step and a plain request body fit.
 pub const MAX_FRAME: usize = 16 << 20;
 
 /// Errors that close the connection.
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -33,7 +33,7 @@
         config_generation: heartbeat.generation.get(),
         targets_revision: targets_revision.get(),
         record: heartbeat.record.as_ref().map(|record| member_to_wire(record, Duration::ZERO)),
-        told: heartbeat
+        relayed: heartbeat
             .relayed
             .iter()
             .map(|relayed| member_to_wire(&relayed.record, relayed.age))
@@ -45,7 +45,7 @@
 pub fn heartbeat_from_wire(heartbeat: BoxHeartbeat) -> Result<Heartbeat, ConvertError> {
     let record = heartbeat.record.map(member_from_wire).transpose()?;
     let relayed: Result<Vec<RelayedRecord>, ConvertError> =
-        heartbeat.told.into_iter().map(member_from_wire).collect();
+        heartbeat.relayed.into_iter().map(member_from_wire).collect();
     Ok(Heartbeat {
         from: parse_id(&heartbeat.box_id)?,
         incarnation: Incarnation::new(heartbeat.incarnation),
