--- a/crates/ids/src/incarnation.rs
+++ b/crates/ids/src/incarnation.rs
@@ -7,7 +7,7 @@
 use crate::{InstanceId, StartTime};
 
 /// One incarnation of a target. A restarted target may reuse its instance ID, so the start time
-/// tells its incarnations apart.
+/// distinguishes its incarnations.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TargetIncarnation {
     /// ID of the instance.
--- a/crates/ids/src/moment.rs
+++ b/crates/ids/src/moment.rs
@@ -1,4 +1,4 @@
-//! Points in time. Callers of the decision code pass them in; it reads no clock itself.
+//! Points in time. The decision code reads no clock; its callers pass in the current time.
 
 use std::fmt;
 use std::ops::{Add, Sub};
--- a/crates/ids/src/number.rs
+++ b/crates/ids/src/number.rs
@@ -99,7 +99,7 @@
 }
 
 number_id! {
-    /// Index of a shard, a part of all jobs that one box serves at a time.
+    /// Index of a shard: a part of all jobs, served by one box at a time.
     ShardIndex(u32), "shard index"
 }
 
