--- a/crates/pools/src/check.rs
+++ b/crates/pools/src/check.rs
@@ -6,7 +6,7 @@
 
 use crate::{PoolSpec, SwapPolicy};
 
-/// Maximum staleness bound, in versions; larger values are rejected as typing errors.
+/// Maximum staleness bound, in versions; larger values are rejected as likely typing errors.
 const MAX_STALENESS_BOUND: u32 = 1_000;
 /// Maximum value of `limits.per_engine`.
 const MAX_PER_ENGINE: u32 = 4_096;
--- a/crates/pools/src/fleet.rs
+++ b/crates/pools/src/fleet.rs
@@ -5,7 +5,7 @@
 use ids::{Generation, ModelVersion, PoolName, TargetId, TrainerId};
 use serde::{Deserialize, Serialize};
 
-/// Measure that takes priority where a pool cannot satisfy both.
+/// What a pool minimizes where fresh samples and busy trainers conflict.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PoolObjective {
@@ -62,7 +62,7 @@
     /// Maximum age of a sample, in versions before the named one.
     #[serde(default = "default_staleness_bound")]
     pub staleness_bound: u32,
-    /// Measure that takes priority.
+    /// What to minimize where fresh samples and busy trainers conflict.
     #[serde(default)]
     pub favours: PoolObjective,
     /// Trainers that may open steps.
