--- a/crates/api/src/error.rs
+++ b/crates/api/src/error.rs
@@ -14,8 +14,8 @@
     Forbidden,
     /// The request conflicts with the current state; nothing ran.
     Conflict,
-    /// The step is not open at its keeper and must be opened again with the held slots; nothing
-    /// ran.
+    /// The step is not open at its keeper and must be opened again with the held slots, or the
+    /// pool does not exist; nothing ran.
     NotOpen,
     /// The work did not run and can be retried after the stated time.
     NotRun,
--- a/crates/api/src/lib.rs
+++ b/crates/api/src/lib.rs
@@ -13,7 +13,8 @@
 };
 pub use step::{AdvanceBody, CloseBody, OpenBody, PullBody, PullResponse, StepState};
 
-/// Request header: whether a plain request is repeatable, `true` or `false` (the default).
+/// Request header: whether a plain request is repeatable, `true` or `false`. Without it, only
+/// requests with a safe HTTP method are.
 pub const REPEATABLE_HEADER: &str = "x-repeatable";
 /// Request header: time limit of the caller, in milliseconds.
 pub const DEADLINE_HEADER: &str = "x-deadline-ms";
--- a/crates/api/src/operator.rs
+++ b/crates/api/src/operator.rs
@@ -94,12 +94,13 @@
     pub pool: PoolName,
     /// Version that is rolled out.
     pub wanted: ModelVersion,
-    /// Number of replicas of the pool in the domain.
+    /// Number of replicas of the pool in the domain that are not leaving.
     pub replicas: usize,
     /// Number of replicas confirmed to have loaded the version.
     pub done: usize,
     /// Number of replicas with a swap order in flight.
     pub under_way: usize,
-    /// Number of replicas whose state has not been read since their last order.
+    /// Number of replicas whose version is unknown: not read since the coordinator started or their
+    /// last order, or the last read gave no version.
     pub in_doubt: usize,
 }
