--- a/crates/gannetwayd/src/http/plain.rs
+++ b/crates/gannetwayd/src/http/plain.rs
@@ -53,7 +53,7 @@
 impl Default for PlainRouter {
     fn default() -> Self {
         Self {
-            chooser: Mutex::new(TargetChooser::with_first_limit(MAX_CALLS_PER_TARGET)),
+            chooser: Mutex::new(TargetChooser::with_assumed_limit(MAX_CALLS_PER_TARGET)),
             budget: Mutex::new(RetryBudget::new(RETRY_THOUSANDTHS, MAX_SAVED_RETRIES)),
         }
     }
--- a/crates/placement/src/chooser.rs
+++ b/crates/placement/src/chooser.rs
@@ -1,4 +1,4 @@
-//! Chooses a target for a sample.
+//! Chooses a target for a sample or a plain request.
 //!
 //! Responses of a target's home carry its load, limit and weight version. The keeper adds the work
 //! that it placed since then. Only a few candidates of the pool are compared, so the cost does not
@@ -91,12 +91,12 @@
 #[derive(Debug, Clone)]
 pub struct TargetChooser {
     views: BTreeMap<TargetId, TargetView>,
-    first_limit: u32,
+    assumed_limit: u32,
 }
 
 impl Default for TargetChooser {
     fn default() -> Self {
-        Self::with_first_limit(DEFAULT_ENGINE_LIMIT)
+        Self::with_assumed_limit(DEFAULT_ENGINE_LIMIT)
     }
 }
 
@@ -119,7 +119,7 @@
     }
 
     fn assume_limit(&mut self, limit: u32) {
-        self.first_limit = limit;
+        self.assumed_limit = limit;
     }
 
     fn next_backoff_end(&self, now: Moment) -> Option<Moment> {
@@ -164,14 +164,14 @@
 }
 
 impl TargetChooser {
-    /// Creates a chooser that assumes `first_limit` for targets whose home has not reported a
+    /// Creates a chooser that assumes `assumed_limit` for targets whose home has not reported a
     /// limit.
-    pub const fn with_first_limit(first_limit: u32) -> Self {
-        Self { views: BTreeMap::new(), first_limit }
+    pub const fn with_assumed_limit(assumed_limit: u32) -> Self {
+        Self { views: BTreeMap::new(), assumed_limit }
     }
 
-    /// Chooses the target whose backoff ends first. Fallback for when all targets are backed off,
-    /// so that a service always has a target.
+    /// Chooses the target whose backoff ends first among those that are not full. Fallback for when
+    /// all targets are backed off.
     pub fn choose_backed_off<'a>(&self, pool: &'a [TargetId]) -> Option<&'a TargetId> {
         let backoff_end = |id: &TargetId| self.views.get(id).map(|view| view.backoff_until);
         pool.iter().filter(|id| !self.is_full(id)).min_by_key(|id| backoff_end(id))
@@ -197,7 +197,7 @@
 
     fn is_full(&self, id: &TargetId) -> bool {
         let Some(view) = self.views.get(id) else { return false };
-        let limit = view.limit.unwrap_or(self.first_limit);
+        let limit = view.limit.unwrap_or(self.assumed_limit);
         view.own_requests + view.other_requests >= limit + limit.div_ceil(OVERCOMMIT_DIVISOR)
     }
 
@@ -206,7 +206,7 @@
         let Some(view) = self.views.get(id) else {
             return 0;
         };
-        let limit = view.limit.unwrap_or(self.first_limit).max(1);
+        let limit = view.limit.unwrap_or(self.assumed_limit).max(1);
         (view.own_requests + view.other_requests).saturating_mul(1_000) / limit
     }
 }
--- a/crates/placement/src/queue.rs
+++ b/crates/placement/src/queue.rs
@@ -26,7 +26,7 @@
 /// A request to use the target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AdmissionRequest {
-    /// The requesting trainer; `None` for plain requests, which share one queue.
+    /// The requesting trainer; `None` for plain requests and scores, which have no fair shares.
     pub trainer: Option<TrainerId>,
     /// Acceptable weight versions; `None` if any will do.
     pub window: Option<VersionWindow>,
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Removes a request whose caller disconnected.
+    /// Removes a waiting or running request without charging its trainer.
     pub fn withdraw(&mut self, ticket: TicketId) {
         self.waiting.retain(|waiting| waiting.ticket != ticket);
         self.running.remove(&ticket);
--- a/crates/placement/src/refusal.rs
+++ b/crates/placement/src/refusal.rs
@@ -24,7 +24,7 @@
         /// The target's version.
         held: ModelVersion,
     },
-    /// The target's version is not named yet, or never was.
+    /// The target's version is newer than the named one.
     #[error("the target holds version {held}, which is not named: use another target")]
     NotNamed {
         /// The target's version.
@@ -56,7 +56,7 @@
     NotRun {
         /// Reason of the refusal.
         reason: NotRun,
-        /// Earliest time for a retry.
+        /// Minimum delay before a retry.
         retry_after: Duration,
     },
     /// The work may have run.
@@ -70,7 +70,7 @@
         Self::NotRun { reason, retry_after }
     }
 
-    /// Whether the work definitely did not run.
+    /// Returns whether the work definitely did not run.
     pub const fn definitely_not_run(&self) -> bool {
         matches!(self, Self::NotRun { .. })
     }
--- a/crates/placement/src/replica.rs
+++ b/crates/placement/src/replica.rs
@@ -69,7 +69,8 @@
     Serving(ModelVersion),
     /// Swaps to this version. Running streams continue, new work waits.
     Swapping(ModelVersion),
-    /// A swap had no definite outcome, or the engine contradicts the last order.
+    /// A swap had no definite outcome, the engine is loading or has no version, or a response
+    /// contradicted the expected version.
     InDoubt,
     /// Stopping.
     Leaving,
@@ -114,12 +115,12 @@
 }
 
 impl ReplicaState {
-    /// Status of the replica.
+    /// Returns the status of the replica.
     pub const fn status(&self) -> ReplicaStatus {
         self.status
     }
 
-    /// Incarnation of the engine at the last reading.
+    /// Returns the incarnation of the engine at the last reading.
     pub const fn incarnation(&self) -> Option<Incarnation> {
         self.incarnation
     }
