--- a/crates/gannetctl/src/cli.rs
+++ b/crates/gannetctl/src/cli.rs
@@ -12,7 +12,8 @@
 
 use crate::exit::CliError;
 
-/// Applies pool configuration, shows the state of boxes, runs steps and sends plain requests.
+/// Applies pool configuration, shows the state of boxes, runs steps, sends plain requests and
+/// evaluates the logs of boxes.
 ///
 /// Exit codes: 0 success; 1 no complete response, the work may have run; 2 bad input;
 /// 3 conflict with another change; 4 not run; 5 the step has missing or duplicate samples.
--- a/crates/gannetctl/src/commands.rs
+++ b/crates/gannetctl/src/commands.rs
@@ -182,7 +182,7 @@
     body: String,
 }
 
-/// Sends a plain request once; boxes repeat it only if it is marked repeatable.
+/// Sends a plain request once; boxes may run it more than once only if it is marked repeatable.
 pub async fn call(entries: &[String], args: CallArgs, output: Output) -> Result<(), CliError> {
     let method = Method::from_bytes(args.method.as_bytes()).map_err(|_bad| {
         CliError::BadInput(format!(
@@ -219,7 +219,7 @@
         Some(_) => {
             return Err(ClientError::Broken("the body does not match its digest".to_owned()).into());
         }
-        // Only service responses carry a digest; a response without one is a box's own refusal.
+        // Boxes add a digest to a service's response, but not to their own refusals.
         None => {
             let refusal: ErrorBody = serde_json::from_slice(&body)
                 .map_err(|error| ClientError::Broken(error.to_string()))?;
--- a/crates/gannetctl/src/explain.rs
+++ b/crates/gannetctl/src/explain.rs
@@ -1,8 +1,9 @@
 //! `explain`: collects the log lines of all boxes that concern an id, in order of time.
 //!
 //! A line concerns an id if one of its id fields has that value. Related lines are included: for
-//! an item those of its job; for a job the server changes of its shard around that time; for a
-//! request that failed at a target the crashes and suspicions of the same work under other ids.
+//! an item those of its job; for an item or a job the changes of its shard's server and copies
+//! around that time; for a failed request or an item the crashes and suspicions of the same work
+//! under other ids.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -16,7 +17,7 @@
 use crate::log_lines::{FileSpan, LogLine, each_line, unreadable_file};
 use crate::output::{Table, print};
 
-/// Events about which box serves a shard.
+/// Events about the server and the copies of a shard.
 const SHARD_EVENTS: [&str; 5] = [
     "serving",
     "not serving",
--- a/crates/gannetctl/src/queries.rs
+++ b/crates/gannetctl/src/queries.rs
@@ -65,8 +65,8 @@
         if status.waits_for.is_empty() { "ready".to_owned() } else { status.waits_for.join("; ") };
     row("box", format!("{} in {}", status.id, status.domain), waits);
     row("config", "generation".to_owned(), status.generation.to_string());
-    for lost in &status.cannot {
-        row("cannot", String::new(), lost.clone());
+    for problem in &status.cannot {
+        row("cannot", String::new(), problem.clone());
     }
     for peer in &status.peers {
         row("peer", format!("{} in {}", peer.id, peer.domain), peer.liveness.clone());
--- a/crates/gannetctl/src/step_timings.rs
+++ b/crates/gannetctl/src/step_timings.rs
@@ -31,7 +31,7 @@
     pub scored_s: f64,
     /// From the end of scoring until its record was on all copies.
     pub listing_s: f64,
-    /// From then until the trainer read it.
+    /// From its listing until the trainer read it.
     pub reading_s: f64,
 }
 
@@ -99,7 +99,8 @@
         })
     }
 
-    /// Describes the largest part of the time, for the table.
+    /// Describes what took longest for the last wanted item, or what blocked the items of an
+    /// incomplete step longest; for the table.
     pub fn cause(&self) -> String {
         let longest_block =
             self.holds.first().map(|blocked| format!("{} {:.1} s", blocked.why, blocked.held_s));
@@ -155,9 +156,12 @@
 /// Collects the log lines about steps.
 #[derive(Debug, Default)]
 pub(crate) struct StepLogCollector {
+    /// Steps, each with the oldest version allowed for its samples.
     steps: Vec<(StepTimings, u64)>,
-    submitted: HashMap<String, f64>,
-    named: HashMap<(String, u64), f64>,
+    /// First acceptance of a job at an entry box, by job id.
+    accepted_at: HashMap<String, f64>,
+    /// First time that a version was named, by model and version.
+    named_at: HashMap<(String, u64), f64>,
 }
 
 impl StepLogCollector {
@@ -171,7 +175,7 @@
             }
             "job submitted" if line.text("outcome") == Some("accepted") => {
                 let Some(job) = line.text("job") else { return };
-                let first = self.submitted.entry(job.to_owned()).or_insert(time_s);
+                let first = self.accepted_at.entry(job.to_owned()).or_insert(time_s);
                 *first = first.min(time_s);
             }
             "version named" => {
@@ -180,7 +184,8 @@
                 else {
                     return;
                 };
-                let first = self.named.entry((model.to_owned(), to_u64(version))).or_insert(time_s);
+                let first =
+                    self.named_at.entry((model.to_owned(), to_u64(version))).or_insert(time_s);
                 *first = first.min(time_s);
             }
             _ => {}
@@ -189,12 +194,12 @@
 
     /// Returns the steps, sorted by model and number.
     pub fn into_steps(self) -> Vec<StepTimings> {
-        let Self { steps, submitted, named } = self;
+        let Self { steps, accepted_at, named_at } = self;
         let mut joined: Vec<StepTimings> = steps
             .into_iter()
             .map(|(step, oldest)| StepTimings {
-                asked_at: submitted.get(&step.job).copied(),
-                named_at: named.get(&(step.model.clone(), oldest)).copied(),
+                asked_at: accepted_at.get(&step.job).copied(),
+                named_at: named_at.get(&(step.model.clone(), oldest)).copied(),
                 ..step
             })
             .collect();
--- a/crates/gannetctl/tests/explain.rs
+++ b/crates/gannetctl/tests/explain.rs
@@ -82,7 +82,7 @@
 
 #[test]
 fn refused_request_shows_crashes_caused_by_the_same_work() {
-    let logs = LogFiles::write("explain-lethal", &[POISON_WORK]);
+    let logs = LogFiles::write("explain-poison", &[POISON_WORK]);
     let shown = stdout_text(&logs.run(&["explain", "r9"]));
     let expected = "\
 AFTER S  BOX      EVENT          FIELDS
