--- a/crates/sessions/src/events.rs
+++ b/crates/sessions/src/events.rs
@@ -57,11 +57,13 @@
     EngineDue(TargetId),
     /// The next poll of the rollout coordinator is due.
     CoordinatorDue,
-    /// The outcome of an order reaches the rollout coordinator.
+    /// The outcome of an order reaches the rollout coordinator: `true` if the version was loaded,
+    /// `false` if the order was refused, `None` if the response was lost.
     OrderCompleted(TargetId, Option<bool>),
     /// The next read of an engine by its home is due.
     HomeReadDue(TargetId),
     /// The response to a read reaches the rollout coordinator; the time is that of the request.
+    /// It contains no version while the engine loads one.
     CoordinatorRead(TargetId, Moment, Option<(Incarnation, Option<ModelVersion>)>),
     /// A request of the trainer reaches a box; the number identifies the request.
     Request(BoxIndex, u64, KeeperRequest),
--- a/crates/sessions/src/lib.rs
+++ b/crates/sessions/src/lib.rs
@@ -1,9 +1,10 @@
-//! Deterministic sessions of the real decision code against fakes, on the runtime's clock.
+//! Deterministic simulation of one trainer step: the real decision code runs against fakes.
 //!
-//! A [`World`] connects keepers, admission queues, a rollout coordinator and a trainer's receiver
-//! to fakes: a store that loses responses, engines that swap weights, a network with delays. It
-//! handles events one at a time, so a seed always gives the same session. It tests decisions
-//! only: there are no sockets, processes or message formats.
+//! Each simulation is a session. Its [`World`] connects keepers, admission queues, a rollout
+//! coordinator and a trainer's receiver to fakes: a store that loses responses, engines that swap
+//! weights, a network with delays. It handles events one at a time, so the same [`WorldPlan`] and
+//! [`FaultPlan`] always give the same session. It tests decisions only: there are no sockets,
+//! processes or message formats.
 
 mod checker;
 mod engine;
--- a/crates/sessions/src/store.rs
+++ b/crates/sessions/src/store.rs
@@ -3,7 +3,7 @@
 use coord::lease::{LeaseRecord, ReadOutcome, VersionedLease, WriteOutcome};
 use ids::ObjectVersion;
 
-/// The lease of the session.
+/// A store that contains the lease of the session.
 #[derive(Debug, Default)]
 pub struct LeaseStore {
     object: Option<VersionedLease>,
--- a/crates/sessions/tests/invariants.rs
+++ b/crates/sessions/tests/invariants.rs
@@ -15,7 +15,7 @@
 const SESSION_COUNT: u64 = 300;
 /// Bytes of random input per session.
 const ENTROPY_BYTES: u64 = 512;
-/// Faults start within this time; a step without faults takes about a second.
+/// Latest start of a fault, in milliseconds; longer than a step without faults takes.
 const FAULT_WINDOW_MS: u64 = 4_000;
 
 fn ms(millis: u64) -> Duration {
