--- a/crates/client/src/step.rs
+++ b/crates/client/src/step.rs
@@ -132,7 +132,8 @@
         Ok(None)
     }
 
-    /// Names a newer version; samples older than the staleness bound are generated again.
+    /// Names a newer version; samples that the staleness bound no longer allows are
+    /// generated again.
     pub async fn advance(&mut self, version: ModelVersion) -> Result<(), ClientError> {
         self.receiver.advance(version);
         let body = AdvanceBody { version, seen: self.receiver.seen() };
