--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -253,6 +253,7 @@
 }
 
 impl Inner {
+    /// Returns the stored report. If an update is due, only later calls return it.
     fn load_report(&mut self, now: Moment) -> LoadReport {
         let (taken_at, report) = self.report;
         if now.since(taken_at) >= REPORT_INTERVAL {
--- a/crates/standins/src/engine_model.rs
+++ b/crates/standins/src/engine_model.rs
@@ -1,8 +1,8 @@
 //! A simulated engine without I/O: continuous batching, a prefix cache, in-place weight swaps.
 //!
 //! Time advances in quanta of [`CHUNK_TOKENS`] decode steps. Each quantum produces the next chunk
-//! of every stream in the batch and takes longer with a larger batch. Response lengths are
-//! heavy-tailed; samples of the same prompt share a scale.
+//! of every stream in the batch whose prefill is complete, and takes longer with a larger batch.
+//! Response lengths are heavy-tailed; samples of the same prompt share a random factor.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -277,6 +277,7 @@
         (self.settings.step + self.settings.step_per_stream * extra) * CHUNK_TOKENS
     }
 
+    /// Marks a prompt as the most recently used one and returns whether it was cached.
     fn touch_cache(&mut self, prompt: u64) -> bool {
         let found = self.cache.iter().position(|cached| *cached == prompt);
         if let Some(at) = found {
--- a/crates/standins/src/plain.rs
+++ b/crates/standins/src/plain.rs
@@ -16,15 +16,15 @@
 use targets::{DIGEST_HEADER, NOT_RUN_HEADER, REQUEST_ID_HEADER, ScoreRequest, ScoreResponse};
 use tokio::time;
 
-/// Fault switches; all off by default.
+/// Fault switches of echoed calls; all off by default. Scoring has no faults.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlainFaults {
-    /// Delay added to every call, in milliseconds.
+    /// Delay added to every call that runs, in milliseconds.
     pub slow_ms: u64,
     /// Number of calls to refuse before they run.
     pub refuse: u32,
-    /// Number of calls to run and answer with a wrong digest.
+    /// Number of calls to run and respond to with a wrong digest.
     pub corrupt: u32,
     /// Number of calls to run without sending the response.
     pub lose_answers: u32,
@@ -70,7 +70,8 @@
     on
 }
 
-/// Returns the routes of a service that echoes the URI and body of any other path.
+/// Returns the HTTP routes of a service that scores texts and echoes the URI and body of requests to
+/// any other path.
 pub fn router(state: PlainState) -> Router {
     Router::new()
         .route("/v1/score", post(score))
--- a/crates/standins/src/proxy.rs
+++ b/crates/standins/src/proxy.rs
@@ -39,9 +39,9 @@
     pub refuse: bool,
     /// Number of resets so far.
     pub resets: u64,
-    /// Number of times that connections to the target were silenced permanently.
+    /// Number of times that all open connections were silenced permanently towards the target.
     pub silences_to_target: u64,
-    /// Number of times that connections from the target were silenced permanently.
+    /// Number of times that all open connections were silenced permanently towards the client.
     pub silences_from_target: u64,
 }
 
