--- a/crates/demo/src/fleet.rs
+++ b/crates/demo/src/fleet.rs
@@ -42,7 +42,7 @@
     /// Lease term.
     pub lease_term: Duration,
     /// Whether to put a fault proxy in front of the peer address of each box.
-    pub relays: bool,
+    pub proxies: bool,
 }
 
 impl Default for FleetPlan {
@@ -54,7 +54,7 @@
             decode_step: Duration::from_millis(10),
             load_time: Duration::from_millis(300),
             lease_term: Duration::from_millis(1_500),
-            relays: false,
+            proxies: false,
         }
     }
 }
@@ -68,7 +68,7 @@
     /// The platform stand-in.
     pub platform: ChildProcess,
     /// Fault proxies by the id of the box behind each.
-    pub relays: BTreeMap<String, FaultProxy>,
+    pub proxies: BTreeMap<String, FaultProxy>,
     /// Boxes by id.
     pub boxes: BTreeMap<String, ChildProcess>,
     /// Engines by id.
@@ -77,8 +77,8 @@
     pub services: BTreeMap<String, ChildProcess>,
 }
 
-fn words(args: &[&str]) -> Vec<String> {
-    args.iter().map(|word| (*word).to_owned()).collect()
+fn owned_args(args: &[&str]) -> Vec<String> {
+    args.iter().map(|arg| (*arg).to_owned()).collect()
 }
 
 fn domain_name(index: usize) -> String {
@@ -100,20 +100,19 @@
     /// Starts all processes and waits until every box is ready. Writes logs to `dir`, which is
     /// cleared first.
     pub async fn start(plan: FleetPlan, dir: PathBuf) -> io::Result<Self> {
-        // Removes the logs of an earlier run.
         if dir.exists() {
             fs::remove_dir_all(&dir)?;
         }
         fs::create_dir_all(&dir)?;
         fs::write(dir.join("key"), DEPLOYMENT_KEY)?;
         let log = Stdio::from(File::create(dir.join("platform.log"))?);
-        let platform = ChildProcess::start("standins", &words(&["platform"]), log).await?;
+        let platform = ChildProcess::start("standins", &owned_args(&["platform"]), log).await?;
         let mut fleet = Self {
             plan,
             dir,
             http: Client::new(),
             platform,
-            relays: BTreeMap::new(),
+            proxies: BTreeMap::new(),
             boxes: BTreeMap::new(),
             engines: BTreeMap::new(),
             services: BTreeMap::new(),
@@ -156,7 +155,7 @@
         incarnation: u64,
     ) -> io::Result<String> {
         let id = format!("engine-{}-{}", domain + 1, index + 1);
-        let args = words(&[
+        let args = owned_args(&[
             "engine",
             "--version",
             &version.to_string(),
@@ -184,7 +183,7 @@
         kind: &str,
         service: &str,
     ) -> io::Result<()> {
-        let child = ChildProcess::start("standins", &words(&["plain"]), self.log(id)?).await?;
+        let child = ChildProcess::start("standins", &owned_args(&["plain"]), self.log(id)?).await?;
         let record = json!({
             "id": id, "domain": domain_name(domain), "kind": kind, "service": service,
             "address": format!("http://{}", child.address()),
@@ -201,22 +200,27 @@
         let platform = format!("http://{}", self.platform.address());
         let term = self.plan.lease_term.as_millis().to_string();
         let domain = domain_name(domain);
-        let mut args = words(&["--box-id", &id, "--domain", &domain]);
-        args.extend(words(&["--caller-listen", "127.0.0.1:0", "--peer-listen", "127.0.0.1:0"]));
-        args.extend(words(&["--platform", &platform, "--key-file", &key_file]));
-        args.extend(words(&["--lease-term-ms", &term, "--drain-notice-ms", "300"]));
-        args.extend(words(&["--peers", &self.peer_addresses().join(",")]));
-        let relay = if self.plan.relays { Some(FaultProxy::start().await?) } else { None };
-        if let Some(relay) = &relay {
-            args.extend(words(&["--peer-advertise", &relay.address.to_string()]));
+        let mut args = owned_args(&["--box-id", &id, "--domain", &domain]);
+        args.extend(owned_args(&[
+            "--caller-listen",
+            "127.0.0.1:0",
+            "--peer-listen",
+            "127.0.0.1:0",
+        ]));
+        args.extend(owned_args(&["--platform", &platform, "--key-file", &key_file]));
+        args.extend(owned_args(&["--lease-term-ms", &term, "--drain-notice-ms", "300"]));
+        args.extend(owned_args(&["--peers", &self.peer_addresses().join(",")]));
+        let proxy = if self.plan.proxies { Some(FaultProxy::start().await?) } else { None };
+        if let Some(proxy) = &proxy {
+            args.extend(owned_args(&["--peer-advertise", &proxy.address.to_string()]));
         }
         let child = ChildProcess::start("gannetwayd", &args, self.log(&id)?).await?;
-        if let Some(relay) = relay {
+        if let Some(proxy) = proxy {
             let bound = child.addresses.get(BOUND_WORD).and_then(|address| address.parse().ok());
             if let Some(address) = bound {
-                relay.set_target(address);
+                proxy.set_target(address);
             }
-            self.relays.insert(id.clone(), relay);
+            self.proxies.insert(id.clone(), proxy);
         }
         let record = json!({ "id": id, "domain": domain, "address": peer_address(&child) });
         // If the platform is unavailable, the other boxes learn of this one from its peers.
@@ -285,16 +289,20 @@
         Ok(())
     }
 
-    /// Waits until `holds` returns true; fails after about 30 s. `what` names the condition in the
-    /// error.
-    pub async fn wait_until(&self, what: &str, holds: impl AsyncFn() -> bool) -> io::Result<()> {
+    /// Waits until `condition` returns true; fails after about 30 s. `description` names the
+    /// condition in the error.
+    pub async fn wait_until(
+        &self,
+        description: &str,
+        condition: impl AsyncFn() -> bool,
+    ) -> io::Result<()> {
         for _ in 0..MAX_CHECKS {
-            if holds().await {
+            if condition().await {
                 return Ok(());
             }
             time::sleep(CHECK_INTERVAL).await;
         }
-        Err(io::Error::new(io::ErrorKind::TimedOut, format!("timed out waiting for {what}")))
+        Err(io::Error::new(io::ErrorKind::TimedOut, format!("timed out waiting for {description}")))
     }
 
     /// Returns the path of the file with the deployment key.
--- a/crates/demo/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -23,17 +23,17 @@
 const MAX_TOKENS: u32 = 1_024;
 /// Number of plain requests.
 const CALLS: usize = 20;
-/// Duration of the platform outage with `--faults`.
+/// Minimum duration of the platform outage with `--faults`.
 const OUTAGE_TIME: Duration = Duration::from_secs(3);
-/// Time that a box stays frozen with `--faults`.
+/// Minimum time that a box stays frozen with `--faults`.
 const FREEZE_TIME: Duration = Duration::from_secs(3);
 
-/// Starts a small deployment on loopback, runs one step of 256 samples with a version swap in
-/// the middle, calls a plain service, and prints a report.
+/// Starts a small deployment on loopback, runs one step of 256 samples with a version swap during
+/// it, calls a plain service, and prints a report.
 #[derive(Debug, Parser)]
 struct Cli {
-    /// Kills the keeper, freezes the next one, restarts a box and makes the platform unavailable,
-    /// all during the step.
+    /// Kills the keeper, freezes the next one, restarts the killed box and makes the platform
+    /// unavailable, all during the step.
     #[arg(long)]
     faults: bool,
     /// Directory for logs.
@@ -56,7 +56,7 @@
     }
 }
 
-/// Samples that the trainer received.
+/// Counts of the samples that the trainer received.
 #[derive(Debug, Default)]
 struct Received {
     slots: SlotSet,
@@ -74,6 +74,8 @@
     longest_wait: Duration,
 }
 
+/// Runs the demo. Returns whether the trainer got every sample exactly once and within the bound,
+/// every plain request got its response, and all boxes stopped without interrupting requests.
 async fn run(cli: Cli) -> io::Result<bool> {
     let run_started = Instant::now();
     let mut fleet = Fleet::start(FleetPlan::default(), cli.logs.clone()).await?;
@@ -202,9 +204,9 @@
     let mut longest_wait = Duration::ZERO;
     let wanted = (received.slots.len() + share).min(SAMPLES);
     while received.slots.len() < wanted {
-        let began = Instant::now();
+        let started = Instant::now();
         pull_until(step, received, received.slots.len() + 1).await?;
-        longest_wait = longest_wait.max(began.elapsed());
+        longest_wait = longest_wait.max(started.elapsed());
     }
     Ok(FaultReport { name, longest_wait })
 }
--- a/crates/demo/tests/processes.rs
+++ b/crates/demo/tests/processes.rs
@@ -213,7 +213,7 @@
         engines_per_domain: 2,
         decode_step: Duration::from_millis(8),
         lease_term: Duration::from_secs(1),
-        relays: true,
+        proxies: true,
         ..FleetPlan::default()
     };
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
@@ -222,9 +222,9 @@
     fleet
 }
 
-/// Whether a box sends its greeting to a new connection through its relay.
-async fn sends_greeting(relay: &FaultProxy) -> bool {
-    let mut stream = TcpStream::connect(relay.address).await.expect("relay accepts connections");
+/// Returns whether a box sends its greeting to a new connection through its proxy.
+async fn sends_greeting(proxy: &FaultProxy) -> bool {
+    let mut stream = TcpStream::connect(proxy.address).await.expect("proxy accepts connections");
     stream.read_u8().await.is_ok()
 }
 
@@ -233,10 +233,10 @@
     let fleet = two_domains("cut-domains").await;
     let (mut step, mut slots) = (open(&fleet).await, SlotSet::default());
     pull(&mut step, &mut slots, 8).await;
-    for relay in fleet.relays.values() {
-        assert!(sends_greeting(relay).await);
-        relay.cut();
-        assert!(!sends_greeting(relay).await, "the relay still forwards");
+    for proxy in fleet.proxies.values() {
+        assert!(sends_greeting(proxy).await);
+        proxy.cut();
+        assert!(!sends_greeting(proxy).await, "the proxy still forwards");
     }
     pull(&mut step, &mut slots, 32).await;
     // Each domain serves plain requests from its own target.
@@ -244,7 +244,7 @@
         let (status, _) = call(entry, &format!("cut-{index}"), true).await;
         assert_eq!(status, 200, "{entry}");
     }
-    fleet.relays.values().for_each(FaultProxy::heal);
+    fleet.proxies.values().for_each(FaultProxy::heal);
     pull(&mut step, &mut slots, SAMPLES).await;
     assert!(step.next().await.expect("step is complete").is_none());
     step.close().await.expect("close");
--- a/crates/demo/tests/traces.rs
+++ b/crates/demo/tests/traces.rs
@@ -37,10 +37,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn spans_reach_the_collector_in_the_callers_trace() {
     let (collector, bodies) = collector().await;
-    let words = |args: &[&str]| args.iter().map(|word| (*word).to_owned()).collect::<Vec<_>>();
-    let platform = ChildProcess::start("standins", &words(&["platform"]), Stdio::null()).await;
+    let owned_args = |args: &[&str]| args.iter().map(|arg| (*arg).to_owned()).collect::<Vec<_>>();
+    let platform = ChildProcess::start("standins", &owned_args(&["platform"]), Stdio::null()).await;
     let platform = platform.expect("platform starts");
-    let args = words(&[
+    let args = owned_args(&[
         "--box-id",
         "box-1",
         "--domain",
