--- a/crates/bench/src/beats.rs
+++ b/crates/bench/src/beats.rs
@@ -12,7 +12,7 @@
 
 /// Measurement time at each size, in seconds; a multiple of the cycle of full heartbeats.
 const MEASURED_SECONDS: u64 = 60;
-/// Time before the measurement, in seconds, while member tables fill.
+/// Time before the measurement, in seconds, in which member tables reach a steady state.
 const WARM_UP_SECONDS: u64 = 120;
 /// Overhead of framing, TCP and IP per heartbeat, in bytes.
 const PACKET_BYTES: u64 = 4 + 32 + 20;
@@ -82,7 +82,10 @@
         let mut heartbeats = Vec::new();
         for (from, table) in &mut tables {
             heartbeats.extend(
-                table.poll(now, Generation::new(7)).into_iter().map(|beat| (from.clone(), beat)),
+                table
+                    .poll(now, Generation::new(7))
+                    .into_iter()
+                    .map(|heartbeat| (from.clone(), heartbeat)),
             );
         }
         processing_time += started.elapsed();
--- a/crates/bench/src/daemon.rs
+++ b/crates/bench/src/daemon.rs
@@ -86,9 +86,11 @@
     Ok(after.row(&before, domains, boxes, seconds))
 }
 
+/// Counters of a fleet at one time.
 struct Snapshot {
     usage: Usage,
     heartbeat_bytes: u64,
+    /// Reads, writes and watches that the platform received.
     calls: [u64; 3],
 }
 
--- a/crates/bench/src/decisions.rs
+++ b/crates/bench/src/decisions.rs
@@ -1,4 +1,4 @@
-//! Time of each kind of decision at several sizes.
+//! Time of each kind of decision at several sizes, and memory of ledgers.
 
 use std::fs;
 use std::hint::black_box;
@@ -22,7 +22,7 @@
 
 /// Number of calls to time.
 const CALLS: u32 = 200_000;
-/// Number of slots of a step at the size expected in two years.
+/// Number of slots of a large step.
 const STEP_SLOTS: u16 = 8_192;
 
 /// Prints all tables.
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -22,11 +22,11 @@
 #[derive(Debug, Parser)]
 struct Cli {
     #[command(subcommand)]
-    what: What,
+    benchmark: Benchmark,
 }
 
 #[derive(Debug, Subcommand)]
-enum What {
+enum Benchmark {
     /// Bytes and time of heartbeats at several fleet sizes.
     Beats,
     /// Time and memory of placement, admission, ledgers, rollouts and home lookups.
@@ -54,30 +54,30 @@
 }
 
 fn main() -> ExitCode {
-    let result = match Cli::parse().what {
-        What::Beats => {
+    let result = match Cli::parse().benchmark {
+        Benchmark::Beats => {
             beats::measure();
             Ok(())
         }
-        What::Decisions => {
+        Benchmark::Decisions => {
             decisions::measure();
             Ok(())
         }
-        What::Suspects => {
+        Benchmark::Suspects => {
             suspects::measure();
             Ok(())
         }
-        What::Documents => {
+        Benchmark::Documents => {
             documents::measure();
             Ok(())
         }
-        What::Daemon { seconds } => daemon::measure(seconds),
-        What::Steps => steps::measure(),
-        What::Policy => {
+        Benchmark::Daemon { seconds } => daemon::measure(seconds),
+        Benchmark::Steps => steps::measure(),
+        Benchmark::Policy => {
             policy::measure();
             Ok(())
         }
-        What::Plain { requests } => plain::measure(requests),
+        Benchmark::Plain { requests } => plain::measure(requests),
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -27,7 +27,7 @@
 struct Outcome {
     ratio: f64,
     extra_attempts: f64,
-    breaches: usize,
+    violations: usize,
     complete: bool,
 }
 
@@ -112,7 +112,7 @@
     Outcome {
         ratio: verdict.ended_at.since_start().as_secs_f64() / bound.as_secs_f64(),
         extra_attempts: f64::from(attempts) / f64::from(samples) - 1.0,
-        breaches: verdict.violations.len(),
+        violations: verdict.violations.len(),
         complete: verdict.complete,
     }
 }
@@ -122,14 +122,14 @@
     outcomes.sort_by(|a, b| a.ratio.total_cmp(&b.ratio));
     let median = &outcomes[outcomes.len() / 2];
     let worst = outcomes.last().map_or(0.0, |outcome| outcome.ratio);
-    let breaches: usize = outcomes.iter().map(|outcome| outcome.breaches).sum();
+    let violations: usize = outcomes.iter().map(|outcome| outcome.violations).sum();
     let complete = outcomes.iter().filter(|outcome| outcome.complete).count();
     vec![
         name.to_owned(),
         format!("{:.2}", median.ratio),
         format!("{worst:.2}"),
         format!("{:.1}%", 100.0 * median.extra_attempts),
-        breaches.to_string(),
+        violations.to_string(),
         format!("{complete} of {SEEDS}"),
     ]
 }
--- a/crates/bench/src/suspects.rs
+++ b/crates/bench/src/suspects.rs
@@ -9,12 +9,12 @@
 
 use crate::table;
 
-/// Number of works to record; exceeds the capacity of the table.
+/// Number of pieces of work to record; exceeds the capacity of the table.
 const WORKS: usize = 600;
 /// Number of verdicts to time.
 const VERDICTS: u32 = 200;
 
-/// Prints the table.
+/// Records crashes of more work than the table can hold, and prints the cost.
 pub fn measure() {
     let service: ServiceName = "desk".parse().expect("valid id");
     let at = Moment::after_start(Duration::from_hours(1));
