--- a/crates/xtask/src/main.rs
+++ b/crates/xtask/src/main.rs
@@ -14,11 +14,11 @@
 #[command(about = "Development tasks of the repository")]
 struct Cli {
     #[command(subcommand)]
-    chore: Chore,
+    task: Task,
 }
 
 #[derive(Debug, Subcommand)]
-enum Chore {
+enum Task {
     /// Generates the Rust code of the wire messages from the .proto file.
     Codegen,
     /// Fails if the committed wire code differs from the code generated from the .proto file.
@@ -44,18 +44,18 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let result = match cli.chore {
-        Chore::Codegen => codegen(&generated_dir()),
-        Chore::CheckCodegen => check_codegen(),
-        Chore::CheckEdits => check_edits(),
-        Chore::Ablate { name: Some(name), to: Some(to) } => {
+    let result = match cli.task {
+        Task::Codegen => codegen(&generated_dir()),
+        Task::CheckCodegen => check_codegen(),
+        Task::CheckEdits => check_edits(),
+        Task::Ablate { name: Some(name), to: Some(to) } => {
             ablate::ablate(&root_dir(), &name, &to).map_err(Into::into)
         }
-        Chore::Ablate { .. } => {
+        Task::Ablate { .. } => {
             ablate::list();
             Ok(())
         }
-        Chore::Mutate { only } => mutate::mutate(&root_dir(), only.as_deref()).map_err(Into::into),
+        Task::Mutate { only } => mutate::mutate(&root_dir(), only.as_deref()).map_err(Into::into),
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/xtask/tests/tidy.rs
+++ b/crates/xtask/tests/tidy.rs
@@ -66,7 +66,7 @@
 fn platform_names_occur_only_in_platform_folder() {
     let mut found = Vec::new();
     for path in product_files() {
-        // Contains the list itself.
+        // This file contains the names in its own list.
         if path.ends_with("xtask/tests/tidy.rs") {
             continue;
         }
@@ -103,7 +103,7 @@
     assert!(undocumented.is_empty(), "add a `//!` doc comment at the start of: {undocumented:#?}");
 }
 
-/// Minimum number of underscores for a word in backquotes to be the name of a test.
+/// Minimum number of underscores in a quoted name to treat it as the name of a test.
 const MIN_TEST_NAME_UNDERSCORES: usize = 3;
 
 /// Returns the test names in backquotes, each with whether it is only a prefix (`name…`).
