--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -20,7 +20,7 @@
 
 /// Timeout for opening a connection; shorter than the retransmission delay of a lost SYN packet.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
-/// How long a connection may stay idle if the target states no time.
+/// How long a connection may stay idle if the target's response states no keep-alive timeout.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(8);
 /// Maximum number of idle connections per target; further ones are closed after use.
 const MAX_IDLE_PER_TARGET: usize = 16;
@@ -29,7 +29,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum SendError {
     /// The target is unreachable; nothing was sent.
-    #[error("the target at {0} cannot be reached, nothing was sent: choose another")]
+    #[error("the target at {0} cannot be reached, nothing was sent: choose another target")]
     NotSent(SocketAddr),
     /// This box has reached its connection limit; nothing was sent.
     #[error("the connection limit is reached, nothing was sent: retry later, or raise `--max-fds`")]
@@ -106,8 +106,8 @@
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sends a request and waits for the response head. Retries only if a connection was closed
-    /// before the request was sent.
+    /// Sends a request, on an idle connection if there is one, and waits for the response head.
+    /// Tries another connection only if nothing of the request was sent on the first.
     pub async fn send(
         &self,
         address: SocketAddr,
