--- a/crates/targets/src/engine_client.rs
+++ b/crates/targets/src/engine_client.rs
@@ -12,7 +12,7 @@
 
 /// Timeout for reading an engine's state and for cancelling a request.
 const STATE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Maximum time between two chunks of a stream.
+/// Maximum wait for the next bytes of a stream.
 const CHUNK_TIMEOUT: Duration = Duration::from_secs(5);
 /// Maximum length of a line in a stream, in bytes.
 const MAX_LINE_BYTES: usize = 1 << 20;
@@ -88,7 +88,7 @@
 }
 
 impl EngineStream {
-    /// Receives the next line. Fails if the stream stops before its end message.
+    /// Receives the next line, the end message included. Fails if the stream stops before it.
     pub async fn next(&mut self) -> Result<EngineLine, TargetError> {
         loop {
             if let Some(line) = self.take_line()? {
@@ -98,8 +98,8 @@
             match next.await {
                 Ok(Ok(Some(bytes))) => self.buffer.extend_from_slice(&bytes),
                 Ok(Err(error)) => return Err(error.into()),
-                Ok(Ok(None)) => return Err(TargetError::Broken("no explicit end".to_owned())),
-                Err(_elapsed) => return Err(TargetError::Broken("silence".to_owned())),
+                Ok(Ok(None)) => return Err(TargetError::Broken("no end message".to_owned())),
+                Err(_elapsed) => return Err(TargetError::Broken("no data in time".to_owned())),
             }
         }
     }
@@ -115,6 +115,6 @@
         self.buffer.advance(1);
         serde_json::from_slice(&line)
             .map(Some)
-            .map_err(|error| TargetError::Broken(format!("a line that is no chunk: {error}")))
+            .map_err(|error| TargetError::Broken(format!("a line that cannot be parsed: {error}")))
     }
 }
--- a/crates/targets/src/error.rs
+++ b/crates/targets/src/error.rs
@@ -10,7 +10,7 @@
     #[error("the target refused before running: {0}")]
     Refused(String),
     /// The request was sent but no complete response was received; the work may have run.
-    #[error("the target's answer broke off ({0}): the work may have run")]
+    #[error("the target's response broke off ({0}): the work may have run")]
     Broken(String),
 }
 
--- a/crates/targets/src/plain.rs
+++ b/crates/targets/src/plain.rs
@@ -34,7 +34,7 @@
     pub status: u16,
     /// Media type of the body.
     pub content_type: String,
-    /// Response body, verified against the length and digest that the service stated.
+    /// Response body; matches the length and the digest if the service stated them.
     pub body: Bytes,
 }
 
@@ -67,14 +67,16 @@
         Self { base: base.trim_end_matches('/').to_owned(), client }
     }
 
-    /// Sends a request once, without retries.
+    /// Sends a request once, without retries. A method that is not valid in HTTP is refused here.
     pub async fn call(
         &self,
         request: &PlainRequest,
         traceparent: &str,
     ) -> Result<PlainResponse, TargetError> {
-        let method = reqwest::Method::from_bytes(request.method.as_bytes())
-            .map_err(|_invalid| TargetError::Refused(format!("method {}", request.method)))?;
+        let method =
+            reqwest::Method::from_bytes(request.method.as_bytes()).map_err(|_invalid| {
+                TargetError::Refused(format!("invalid HTTP method {}", request.method))
+            })?;
         let response = self
             .client
             .request(method, format!("{}{}", self.base, request.path))
