--- a/crates/front/src/isolation.rs
+++ b/crates/front/src/isolation.rs
@@ -21,14 +21,14 @@
 
 use crate::jobs_api::ShardClient;
 
-/// How often the connection is checked.
+/// Interval between checks while the box is connected, and once it is isolated.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Delay before the next probe after one without a response; a probe may fail immediately.
 const PROBE_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Maximum wait for a storage box to respond.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long a store response about the configuration proves that the box is connected. The store is
-/// polled at least this often: a longer watch may be answered although the connection is lost.
+/// How long a store response about the configuration proves that the box is connected. Short,
+/// because the store may still respond to a pending watch after requests no longer reach it.
 const STORE_RESPONSE_TTL: Duration = Duration::from_millis(1_300);
 /// Time without contact after which a box is isolated; long enough for one lost probe.
 const ISOLATION_TIMEOUT: Duration = Duration::from_millis(600);
--- a/crates/front/src/jobs_api.rs
+++ b/crates/front/src/jobs_api.rs
@@ -30,8 +30,8 @@
 const SUBMIT_TIMEOUT: Duration = Duration::from_secs(3);
 /// Timeout for a call that does not wait for results.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Timeout for locating the shard that holds a job. The servers respond from memory; after the
-/// timeout the call itself is sent to all shards.
+/// Timeout for locating the shard that holds a job. The servers respond from memory; if none has
+/// the job, the call itself is sent to all shards.
 const LOCATE_TIMEOUT: Duration = Duration::from_millis(300);
 /// Time added to the caller's wait for the response to arrive.
 const READ_TIMEOUT_MARGIN: Duration = Duration::from_millis(800);
@@ -197,7 +197,8 @@
         time::timeout(time, reached).await.unwrap_or(false)
     }
 
-    /// Addresses of randomly chosen storage boxes, one per other failure domain.
+    /// Addresses of randomly chosen storage boxes: one per other failure domain, or one of this
+    /// domain if there is no other.
     fn storage_boxes_to_probe(&self) -> Vec<String> {
         let assignments = self.view.assignments();
         let own_domain = &self.view.settings.domain;
@@ -297,12 +298,13 @@
                 Err(_) => {}
             }
         }
-        Err(search.end())
+        Err(search.combined_fault())
     }
 }
 
 /// Adjusts the result of a call that was repeated at another server or on another connection. The
-/// first attempt may have been executed, so a refusal of the second becomes `Unknown`.
+/// first attempt may have been executed, so a result that promises otherwise becomes `Unknown`.
+/// Reads keep their result, since they can be repeated.
 fn after_retry(
     is_retry: bool,
     body: &shard_request::Body,
--- a/crates/front/src/role.rs
+++ b/crates/front/src/role.rs
@@ -48,7 +48,7 @@
     /// Binds the addresses from the settings; fails if one is missing or in use.
     pub async fn bind(settings: &NodeSettings) -> io::Result<Self> {
         let (Some(front), Some(ready)) = (settings.front, settings.ready) else {
-            return Err(io::Error::other("--front and --ready are missing: give both as IP:PORT"));
+            return Err(io::Error::other("--front or --ready is missing: give both as IP:PORT"));
         };
         Ok(Self { front: TcpListener::bind(front).await?, ready: TcpListener::bind(ready).await? })
     }
@@ -73,7 +73,7 @@
     }
     tokio::spawn(log_counters(Arc::clone(&view)));
     let links = LinkPool::new(link_settings, shutdown.clone());
-    start_followers(&view, &links, &shutdown);
+    start_watchers(&view, &links, &shutdown);
     tokio::spawn(sync_suspects(Arc::clone(&view), false, shutdown.clone()));
     let shards = ShardClient::new(Arc::clone(&view), links);
     tokio::spawn(watch_isolation(Arc::clone(&view), shards.clone(), shutdown.clone()));
@@ -90,9 +90,9 @@
     }
 }
 
-/// Starts the watchers of the stored state that an entry box needs. They are served by the feed of
-/// a storage box if one is available.
-fn start_followers(view: &Arc<NodeView>, links: &LinkPool, shutdown: &CancellationToken) {
+/// Starts the watchers of the store's kinds that an entry box needs. The feed of a storage box
+/// serves them while it is fresh.
+fn start_watchers(view: &Arc<NodeView>, links: &LinkPool, shutdown: &CancellationToken) {
     let shared_view = || Arc::clone(view);
     let no_delay = Duration::ZERO;
     view.feed.set_receive_only();
@@ -108,7 +108,8 @@
     );
     // A stale assignment is acceptable: a box that doesn't serve a shard refuses the call.
     assignments.allow_stale_first_list();
-    // Requests are served from the cached state, and hundreds of these boxes would probe the store.
+    // After an outage, requests are served from the cached state; without the delay, hundreds of
+    // entry boxes would probe the store.
     config.defer_recovery_probe();
     let mut feeds = vec![config.feed(), targets.feed(), assignments.feed()];
     if view.settings.evacuations {
@@ -131,7 +132,8 @@
     }
 }
 
-/// Refuses new callers and waits for the requests in flight.
+/// Reports the box as not ready, closes callers' connections after their current request, and waits
+/// for the requests in flight.
 async fn stop_gracefully(state: &FrontState, grace: Duration) {
     let started = Instant::now();
     log::info!(target: "entry", in_flight = state.in_flight(); "stopping");
--- a/crates/front/src/search.rs
+++ b/crates/front/src/search.rs
@@ -80,7 +80,7 @@
     }
 
     /// Returns the combined fault; `NotServed` if there were no shards.
-    pub fn end(self) -> ShardFault {
+    pub fn combined_fault(self) -> ShardFault {
         self.worst.unwrap_or(ShardFault::NotServed)
     }
 }
--- a/crates/front/src/server.rs
+++ b/crates/front/src/server.rs
@@ -114,7 +114,7 @@
 }
 
 async fn serve_connection(state: FrontState, stream: TcpStream) {
-    // Best effort: without it small responses are delayed.
+    // Best effort: without this option, small responses may be delayed.
     let _nodelay = stream.set_nodelay(true);
     state.counts.connections.fetch_add(1, Ordering::Relaxed);
     let limits = state.view.table().limits;
--- a/crates/front/tests/search.rs
+++ b/crates/front/tests/search.rs
@@ -8,7 +8,7 @@
     for fault in faults {
         search.failed(*fault);
     }
-    search.end()
+    search.combined_fault()
 }
 
 #[test]
@@ -36,7 +36,7 @@
     let mut search = JobSearch::default();
     assert!(!search.failed(ShardFault::Unknown));
     assert!(search.failed(ShardFault::NoItem), "no other shard can hold the item");
-    assert_eq!(search.end(), ShardFault::NoItem);
+    assert_eq!(search.combined_fault(), ShardFault::NoItem);
 }
 
 #[test]
