--- a/crates/shards/src/order.rs
+++ b/crates/shards/src/order.rs
@@ -105,11 +105,11 @@
         mode: spec.mode,
         holder: ctx.me.box_id.to_string(),
         token,
-        orders_taken: report.orders_taken,
+        accepted_orders: report.accepted_orders,
     };
     log::info!(
         target: "conductor", target:% = spec.target.instance, model:% = spec.model,
-        weight_version = spec.version.get(), token = token.get(), orders_taken = order.orders_taken;
+        weight_version = spec.version.get(), token = token.get(), orders_taken = order.accepted_orders;
         "order sent"
     );
     let body = Bytes::from(orders::write_order(&order));
--- a/crates/shards/src/role.rs
+++ b/crates/shards/src/role.rs
@@ -235,7 +235,7 @@
 
 async fn report_retirement(ctx: &ShardContext, name: &str, done: bool) -> bool {
     ctx.view.metrics.store_call(Kind::Retirements, StoreCall::Write);
-    let reported = ctx.view.store.retirement_status(name, done).await;
+    let reported = ctx.view.store.set_retirement_status(name, done).await;
     log::info!(target: "shard", done = done, outcome = if reported.is_ok() { "told" } else { "failed" }; "retirement status");
     reported.is_ok()
 }
