--- a/crates/joblog/src/copy.rs
+++ b/crates/joblog/src/copy.rs
@@ -25,7 +25,9 @@
     )]
     Io(#[from] io::Error),
     /// A record is missing or damaged.
-    #[error("no complete record at byte {offset}: the disk has lost it; serve from another copy")]
+    #[error(
+        "no complete record at byte {offset}: it is missing or damaged; serve from another copy"
+    )]
     NoRecord {
         /// Expected offset of the record, in bytes.
         offset: u64,
@@ -88,15 +90,15 @@
         let mut count = 0;
         let mut offset = 0;
         loop {
-            let more = Read::by_ref(&mut file).take(READ_BYTES).read_to_end(&mut bytes)?;
-            let (records, used) = decode_records(&bytes);
-            bytes.drain(..used);
+            let bytes_read = Read::by_ref(&mut file).take(READ_BYTES).read_to_end(&mut bytes)?;
+            let (records, decoded_len) = decode_records(&bytes);
+            bytes.drain(..decoded_len);
             count += records.len();
             for (record, len) in records {
                 visit(record, RecordLocation { offset, len });
                 offset += u64::from(len);
             }
-            if more == 0 {
+            if bytes_read == 0 {
                 return Ok(count);
             }
         }
@@ -147,7 +149,7 @@
 pub struct LogCopyFile {
     file: File,
     len: u64,
-    /// Offset of the last append, in bytes.
+    /// Offset of the last append, in bytes; `None` before the first one and after a failed one.
     last_offset: Option<u64>,
 }
 
--- a/crates/joblog/tests/epochs.rs
+++ b/crates/joblog/tests/epochs.rs
@@ -99,7 +99,7 @@
             88..93 => self.boxes[box_index].restart(),
             93..96 => self.wipe(box_index),
             96..98 => self.late_write(),
-            _ => self.tear(box_index),
+            _ => self.lose_power(box_index),
         }
     }
 
@@ -194,11 +194,11 @@
 
     fn serve(&mut self, box_index: usize, plan: ShardPlan) {
         let me = &mut self.boxes[box_index];
-        let in_force = self.store.plan.as_ref().is_some_and(|read| read.plan == plan);
+        let is_current = self.store.plan.as_ref().is_some_and(|read| read.plan == plan);
         me.loaded_epoch = Some(plan.epoch.clone());
         me.serving = Some(plan);
         self.served += 1;
-        if !in_force {
+        if !is_current {
             // The plan was superseded while this box was paused. Its appends must fail.
             return;
         }
@@ -241,11 +241,11 @@
         assert_eq!(*held, self.acked, "an append of a superseded server was acknowledged");
     }
 
-    /// Wipes a disk, if the stored plan names another complete copy.
+    /// Wipes a disk unless it has the last complete copy of the stored plan, a takeover is in
+    /// progress or a plan write is delayed.
     fn wipe(&mut self, box_index: usize) {
         let Some(read) = &self.store.plan else { return };
         let plan = &read.plan;
-        // Never wipes the last complete copy of the current plan, nor any disk during a takeover.
         let other_complete = plan
             .copies
             .iter()
@@ -258,7 +258,7 @@
     }
 
     /// Power loss during an unacknowledged append whose record has reached this disk.
-    fn tear(&mut self, box_index: usize) {
+    fn lose_power(&mut self, box_index: usize) {
         let record = self.next_record;
         self.next_record += 1;
         if let Some(read) = &self.store.plan
--- a/crates/jobs/src/reads.rs
+++ b/crates/jobs/src/reads.rs
@@ -119,7 +119,7 @@
         Some(ResultsPage { page: JobPage { total, results }, on_disk })
     }
 
-    /// Returns the request body of an item, or `None` after its job has ended.
+    /// Returns the request body of an item, or `None` if the item is unknown or its job has ended.
     pub fn body(&self, id: &JobId, item: &str) -> Option<Vec<u8>> {
         let state = self.jobs.get(id).filter(|state| !state.ended)?;
         let request = state.job.items.iter().find(|other| other.id == item)?;
--- a/crates/jobs/tests/replay.rs
+++ b/crates/jobs/tests/replay.rs
@@ -35,15 +35,15 @@
             2..5 => running.extend(start_all(&mut table, now).into_iter().map(|spec| (spec, 0))),
             5 => records.extend(table.give_up(now).into_iter().map(|(record, _)| record)),
             6 if !running.is_empty() => {
-                let at = rng.random_range(0..running.len());
-                let (spec, sent) = &mut running[at];
+                let index = rng.random_range(0..running.len());
+                let (spec, sent) = &mut running[index];
                 let received = events(spec.events + 1, *sent + 2, 3);
                 records.push(spec.progress(&received, *sent as usize));
                 *sent += 2;
             }
             _ if !running.is_empty() => {
-                let at = rng.random_range(0..running.len());
-                let (spec, sent) = running.remove(at);
+                let index = rng.random_range(0..running.len());
+                let (spec, sent) = running.remove(index);
                 let received = events(spec.events + 1, sent + rng.random_range(0..3), 3);
                 let outcome = match rng.random_range(0..4) {
                     0 => RunOutcome::Cut,
@@ -51,12 +51,12 @@
                     _ => RunOutcome::Complete,
                 };
                 if spec.complete || table.run_ended(now, &spec, &run(outcome, received)) {
-                    let end = match rng.random_range(0..4) {
+                    let reward = match rng.random_range(0..4) {
                         0 => RewardOutcome::Missed,
                         1 => RewardOutcome::Failed { attempts: 4 },
                         _ => RewardOutcome::Scored("s".to_owned()),
                     };
-                    records.extend(table.scored(now, &spec.item, end));
+                    records.extend(table.scored(now, &spec.item, reward));
                 }
             }
             _ => {}
--- a/crates/ledger/src/step.rs
+++ b/crates/ledger/src/step.rs
@@ -15,6 +15,7 @@
 enum Slot {
     /// Needs an attempt.
     Wanted,
+    /// The attempt is in progress.
     Running(AttemptId),
     /// The sample is finished and was not returned by a pull yet.
     Ready(Arc<Sample>),
@@ -103,7 +104,7 @@
     ///
     /// # Errors
     ///
-    /// The body differs from the first one.
+    /// The specification differs from the first one.
     pub fn reopen(&self, spec: &StepSpec) -> Result<(), LedgerError> {
         if spec.digest() == self.spec.digest() {
             return Ok(());
