--- a/crates/bench/src/daemon.rs
+++ b/crates/bench/src/daemon.rs
@@ -25,13 +25,13 @@
 impl Usage {
     /// Returns the total usage of all boxes of a fleet.
     pub fn of_boxes(fleet: &Fleet) -> io::Result<Self> {
-        let mut all = Self::default();
+        let mut total = Self::default();
         for child in fleet.boxes.values() {
-            let one = usage_of(child)?;
-            all.ticks += one.ticks;
-            all.kib += one.kib;
+            let usage = usage_of(child)?;
+            total.ticks += usage.ticks;
+            total.kib += usage.kib;
         }
-        Ok(all)
+        Ok(total)
     }
 
     /// Returns the CPU time used since `before`, in seconds.
@@ -107,14 +107,17 @@
     }
 
     fn row(&self, before: &Self, domains: usize, boxes: usize, seconds: u64) -> Vec<String> {
-        let all = to_f64((domains * boxes) as u64);
+        let box_count = to_f64((domains * boxes) as u64);
         let span = to_f64(seconds);
         let mut row = vec![
             domains.to_string(),
             boxes.to_string(),
-            format!("{:.2}", 100.0 * self.usage.seconds_since(&before.usage) / span / all),
-            format!("{:.1}", self.usage.mib() / all),
-            format!("{:.0}", to_f64(self.heartbeat_bytes - before.heartbeat_bytes) / span / all),
+            format!("{:.2}", 100.0 * self.usage.seconds_since(&before.usage) / span / box_count),
+            format!("{:.1}", self.usage.mib() / box_count),
+            format!(
+                "{:.0}",
+                to_f64(self.heartbeat_bytes - before.heartbeat_bytes) / span / box_count
+            ),
         ];
         for (after, before) in self.calls.iter().zip(before.calls) {
             row.push(format!("{:.2}", to_f64(after - before) / span));
@@ -123,6 +126,7 @@
     }
 }
 
+/// Converts a counter; saturates at `u32::MAX`.
 fn to_f64(number: u64) -> f64 {
     f64::from(u32::try_from(number).unwrap_or(u32::MAX))
 }
--- a/crates/client/src/step.rs
+++ b/crates/client/src/step.rs
@@ -1,4 +1,4 @@
-//! Opens, pulls and closes steps.
+//! Opens, pulls, advances and closes steps.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/front/src/response.rs
+++ b/crates/front/src/response.rs
@@ -11,7 +11,8 @@
 use platform::headers;
 use upstream::FullResponse;
 
-/// The target broke off a stream; the caller's connection is closed before the end of the body.
+/// The target disconnected during a stream; the caller's connection is closed before the end of
+/// the body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the target broke off the stream: request the remainder after the last event")]
 pub struct StreamBroken;
--- a/crates/front/src/search.rs
+++ b/crates/front/src/search.rs
@@ -2,7 +2,7 @@
 //!
 //! A job's id doesn't determine its shard. For a job that is not cached, an entry box queries the
 //! servers of all shards at once and caches the location. The job is unknown only if every shard
-//! says so: it may be on a shard that has no server or did not respond.
+//! reports that it does not hold it: a shard without a server or a response may hold it.
 
 use std::collections::{HashMap, VecDeque};
 
--- a/crates/front/src/stream.rs
+++ b/crates/front/src/stream.rs
@@ -1,4 +1,4 @@
-//! Streaming requests: each runs at one target at most, and the response is forwarded as it
+//! Streaming requests: each runs at no more than one target, whose response is forwarded as it
 //! arrives.
 
 use std::sync::Arc;
--- a/crates/gannetctl/src/log_lines.rs
+++ b/crates/gannetctl/src/log_lines.rs
@@ -10,7 +10,7 @@
 
 use crate::exit::CliError;
 
-/// Fields that hold the id of what a line is about.
+/// Fields that identify the subject of a line.
 const ID_FIELDS: [&str; 4] = ["request", "job", "item", "work"];
 /// Fields that are common to all lines; left out of `LogLine::fields`.
 const COMMON_FIELDS: [&str; 5] = ["t", "box", "event", "level", "part"];
--- a/crates/gannetctl/src/queries.rs
+++ b/crates/gannetctl/src/queries.rs
@@ -61,9 +61,9 @@
     let mut row = |kind: &str, name: String, state: String| {
         table.row([kind.to_owned(), name, state]);
     };
-    let waits =
+    let readiness =
         if status.waits_for.is_empty() { "ready".to_owned() } else { status.waits_for.join("; ") };
-    row("box", format!("{} in {}", status.id, status.domain), waits);
+    row("box", format!("{} in {}", status.id, status.domain), readiness);
     row("config", "generation".to_owned(), status.generation.to_string());
     for problem in &status.cannot {
         row("cannot", String::new(), problem.clone());
--- a/crates/gannetctl/tests/explain.rs
+++ b/crates/gannetctl/tests/explain.rs
@@ -92,7 +92,7 @@
 decided by entry-2: work refused (ends=3 outcome=condemned request=r9 work=w1)
 ";
     assert_eq!(shown, expected);
-    // An id of work finds all attempts of that work, under any request id.
+    // A work id matches all attempts of that work, whatever their request ids.
     let shown = stdout_text(&logs.run(&["explain", "w1"]));
     assert!(shown.contains("request=r7") && !shown.contains("work=w2"), "{shown}");
 }
--- a/crates/gannetwayd/src/apply.rs
+++ b/crates/gannetwayd/src/apply.rs
@@ -46,8 +46,8 @@
                 last_error = error;
             }
         }
-        let pause = rand::rng().random_range(0..=MAX_RETRY_DELAY_MS);
-        time::sleep(Duration::from_millis(pause)).await;
+        let delay = rand::rng().random_range(0..=MAX_RETRY_DELAY_MS);
+        time::sleep(Duration::from_millis(delay)).await;
     }
     let kind = if maybe_written { ErrorKind::Unknown } else { ErrorKind::NotRun };
     let message =
--- a/crates/gannetwayd/src/daemon.rs
+++ b/crates/gannetwayd/src/daemon.rs
@@ -32,7 +32,7 @@
 
 /// Interval at which a planned stop checks for remaining work.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Divisor of the drain limit that gives the time for attempts in flight to finish.
+/// Attempts in flight may take the drain limit divided by this number to finish.
 const ATTEMPT_DRAIN_DIVISOR: u32 = 3;
 /// Timeout for the successor's response.
 const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(3);
@@ -131,34 +131,34 @@
     /// reached.
     pub async fn stop(self) -> usize {
         let ctx = &self.ctx;
-        let limit = time::Instant::now() + ctx.settings.drain_notice + ctx.settings.drain_limit;
+        let deadline = time::Instant::now() + ctx.settings.drain_notice + ctx.settings.drain_limit;
         log::info!(target: "box", id:% = ctx.me.id; "leaving");
         ctx.leaving.cancel();
         // Sending fails only when the box has stopped.
-        let _gone = self.members.tell(LeaveFleet).await;
-        let _gone = self.coordinator.tell(ReleaseRollouts).await;
-        let attempts_until =
+        let _stopped = self.members.tell(LeaveFleet).await;
+        let _stopped = self.coordinator.tell(ReleaseRollouts).await;
+        let attempt_deadline =
             time::Instant::now() + ctx.settings.drain_limit / ATTEMPT_DRAIN_DIVISOR;
         let notice = time::sleep(ctx.settings.drain_notice);
-        tokio::join!(notice, self.hand_over_all(attempts_until));
+        tokio::join!(notice, self.hand_over_all(attempt_deadline));
         self.stop_http.cancel();
-        let aborted = self.wait_for_requests(limit).await;
+        let aborted = self.wait_for_requests(deadline).await;
         ctx.stop.cancel();
         ctx.tracer.finish();
         log::info!(target: "box", id:% = ctx.me.id, requests_cut = aborted; "stopped");
         aborted
     }
 
-    async fn hand_over_all(&self, attempts_until: time::Instant) {
+    async fn hand_over_all(&self, attempt_deadline: time::Instant) {
         let all = self.ctx.keepers.all();
-        let each = all.iter().map(|(key, handle)| self.hand_over(key, handle, attempts_until));
+        let each = all.iter().map(|(key, handle)| self.hand_over(key, handle, attempt_deadline));
         futures::future::join_all(each).await;
     }
 
     /// Waits for attempts in flight, then hands the steps over to a successor.
-    async fn hand_over(&self, key: &KeeperKey, handle: &KeeperHandle, until: time::Instant) {
+    async fn hand_over(&self, key: &KeeperKey, handle: &KeeperHandle, deadline: time::Instant) {
         let adopt = loop {
-            let force = time::Instant::now() >= until;
+            let force = time::Instant::now() >= deadline;
             match handle.actor.ask(HandOverSteps { force }).await {
                 Ok(HandOverReply::Steps(adopt)) => break adopt,
                 Ok(HandOverReply::Busy) => time::sleep(DRAIN_POLL_INTERVAL).await,
@@ -200,10 +200,10 @@
         }
     }
 
-    async fn wait_for_requests(&self, limit: time::Instant) -> usize {
+    async fn wait_for_requests(&self, deadline: time::Instant) -> usize {
         loop {
             let left = self.http.in_flight();
-            if left == 0 || time::Instant::now() >= limit {
+            if left == 0 || time::Instant::now() >= deadline {
                 return left;
             }
             time::sleep(DRAIN_POLL_INTERVAL).await;
--- a/crates/gannetwayd/src/documents.rs
+++ b/crates/gannetwayd/src/documents.rs
@@ -251,8 +251,8 @@
 
 async fn pause_after_error(kind: ObjectKind, error: &StoreError) {
     log::debug!(target: "config", kind:% = kind, error:% = error; "reading the platform failed");
-    let pause = rand::rng().random_range(RETRY_DELAY_MS);
-    time::sleep(Duration::from_millis(pause)).await;
+    let delay = rand::rng().random_range(RETRY_DELAY_MS);
+    time::sleep(Duration::from_millis(delay)).await;
 }
 
 /// Returns whether this box is one of its domain's watchers of `kind`.
--- a/crates/gannetwayd/src/home.rs
+++ b/crates/gannetwayd/src/home.rs
@@ -361,10 +361,10 @@
             return;
         }
         let settled = matches!(*status.borrow_and_update(), ReplicaStatus::Serving(_));
-        let pause = if settled { READ_INTERVAL } else { DOUBT_READ_INTERVAL };
+        let delay = if settled { READ_INTERVAL } else { DOUBT_READ_INTERVAL };
         tokio::select! {
             () = ctx.stop.cancelled() => return,
-            () = time::sleep(pause) => {}
+            () = time::sleep(delay) => {}
             // The replica may now be in doubt: poll it immediately.
             changed = status.changed(), if settled => if changed.is_err() { return },
         }
--- a/crates/gannetwayd/src/http/plain.rs
+++ b/crates/gannetwayd/src/http/plain.rs
@@ -40,7 +40,7 @@
 /// Maximum number of concurrent requests from this box to one target. The target's home enforces
 /// the limit over all boxes.
 const MAX_CALLS_PER_TARGET: u32 = 256;
-/// Slack added to the request's time left before the call to the home times out.
+/// Slack added to the request's time left before the home's response stream counts as idle.
 const IDLE_TIMEOUT_SLACK: Duration = Duration::from_millis(250);
 
 /// Chooses targets of plain services by the outcomes of earlier requests, and limits retries.
@@ -156,8 +156,8 @@
 }
 
 impl PlainRun<'_> {
-    /// Tries targets until one responds, a retry is unsafe, the retry budget is exhausted, or no
-    /// time is left for a retry.
+    /// Tries targets until one responds, none can be chosen, a retry is unsafe, the retry budget is
+    /// exhausted, or no time is left for a retry.
     async fn run_with_retries(&self, service: &ServiceName) -> Result<PlainPart, ApiError> {
         lock(&self.state.plain.budget).record_attempt();
         let mut retry = 0;
@@ -169,14 +169,14 @@
                 Err(error) => error,
             };
             let safe = self.repeatable || error.definitely_not_run();
-            let pause = BACKOFF.delay(retry, rand::rng().random());
-            let in_time = self.ctx().clock.now() + pause < self.deadline;
+            let delay = BACKOFF.delay(retry, rand::rng().random());
+            let in_time = self.ctx().clock.now() + delay < self.deadline;
             if !safe || !in_time || !lock(&self.state.plain.budget).try_retry() {
                 return Err(error.into());
             }
             self.ctx().metrics.retries.inc();
             retry += 1;
-            time::sleep(pause).await;
+            time::sleep(delay).await;
         }
     }
 
@@ -236,7 +236,7 @@
     }
 }
 
-/// Counts a request at a target until dropped.
+/// Removes a placed request from the chooser's count for the target when dropped.
 struct PlacedCall<'a> {
     router: &'a PlainRouter,
     target: &'a TargetId,
--- a/crates/gannetwayd/src/keeper/actor.rs
+++ b/crates/gannetwayd/src/keeper/actor.rs
@@ -28,9 +28,13 @@
     ctx: BoxContext,
     key: KeeperKey,
     keeper: StepKeeper<ChaCha8Rng>,
+    /// Version windows of the steps with attempts, observed by the attempts.
     windows: HashMap<StepNumber, watch::Sender<VersionWindow>>,
+    /// Incremented whenever the keeper may have changed; wakes requests that wait for it.
     changes: watch::Sender<u64>,
+    /// Time of the next tick.
     wake: watch::Sender<Moment>,
+    /// Fencing token at the last check for a change; `None` if the lease was not held.
     acting: Option<FencingToken>,
 }
 
--- a/crates/gannetwayd/src/members.rs
+++ b/crates/gannetwayd/src/members.rs
@@ -191,7 +191,7 @@
     loop {
         let listed = ctx.store.list(ObjectKind::Box).await;
         ctx.record_platform_status(listed.is_ok());
-        let pause = match listed {
+        let delay = match listed {
             Ok(listed) => {
                 let boxes = listed.objects.into_iter().filter_map(listed_box).collect();
                 if actor.tell(ListedBoxes(boxes)).await.is_err() {
@@ -204,7 +204,7 @@
                 LIST_RETRY_DELAY
             }
         };
-        if ctx.stop.run_until_cancelled(time::sleep(pause)).await.is_none() {
+        if ctx.stop.run_until_cancelled(time::sleep(delay)).await.is_none() {
             return;
         }
     }
--- a/crates/xtask/src/mutate.rs
+++ b/crates/xtask/src/mutate.rs
@@ -164,7 +164,7 @@
     Mutation {
         name: "8: a stopping box does not wait for requests in flight",
         file: "crates/gannetwayd/src/daemon.rs",
-        from: "if left == 0 || time::Instant::now() >= limit {",
+        from: "if left == 0 || time::Instant::now() >= deadline {",
         to: "if true {",
         package: "demo",
         test: "stop_at_once",
