--- a/crates/gannetctl/src/explain.rs
+++ b/crates/gannetctl/src/explain.rs
@@ -14,7 +14,7 @@
 
 use crate::cli::{ExplainArgs, Output};
 use crate::exit::CliError;
-use crate::log_lines::{FileSpan, LogLine, each_line, unreadable_file};
+use crate::log_lines::{FileSpan, LogLine, for_each_line, unreadable_file};
 use crate::output::{Table, print};
 
 /// Events about the server and the copies of a shard.
@@ -62,7 +62,7 @@
     let mut lines = Vec::new();
     let mut read = Vec::new();
     for file in &args.files {
-        let span = each_line(file, |line| {
+        let span = for_each_line(file, |line| {
             if line.has_id_in(&requested_ids) {
                 let text = |name: &str| line.fields.get(name).and_then(Value::as_str);
                 job_ids.extend(text("job").map(str::to_owned));
@@ -76,7 +76,7 @@
     let related_jobs: BTreeSet<String> = job_ids.difference(&requested_ids).cloned().collect();
     let mut shard_lines = Vec::new();
     for file in &args.files {
-        let second_read = each_line(file, |line| {
+        let second_read = for_each_line(file, |line| {
             if line.has_id_in(&job_ids) {
                 shard_ids.extend(line.fields.get("shard").and_then(Value::as_u64));
             }
--- a/crates/gannetctl/src/log_lines.rs
+++ b/crates/gannetctl/src/log_lines.rs
@@ -78,7 +78,7 @@
 }
 
 /// Calls `handle` with each log line of a file; skips other lines.
-pub(crate) fn each_line(file: &Path, mut handle: impl FnMut(LogLine)) -> io::Result<FileSpan> {
+pub(crate) fn for_each_line(file: &Path, mut handle: impl FnMut(LogLine)) -> io::Result<FileSpan> {
     let mut span = FileSpan { file: file.to_owned(), lines: 0, first_s: None, last_s: None };
     for line in BufReader::new(File::open(file)?).lines() {
         let Some(line) = LogLine::parse(&line?) else { continue };
--- a/crates/gannetctl/src/steps.rs
+++ b/crates/gannetctl/src/steps.rs
@@ -2,7 +2,7 @@
 
 use crate::cli::{Output, StepsArgs};
 use crate::exit::CliError;
-use crate::log_lines::{each_line, unreadable_file};
+use crate::log_lines::{for_each_line, unreadable_file};
 use crate::output::{Table, print};
 use crate::step_chart::draw_step_chart;
 use crate::step_timings::{StepLogCollector, StepTimings};
@@ -11,7 +11,7 @@
 pub fn steps(args: &StepsArgs, output: Output) -> Result<(), CliError> {
     let mut collector = StepLogCollector::default();
     for file in &args.files {
-        each_line(file, |line| collector.record_line(&line))
+        for_each_line(file, |line| collector.record_line(&line))
             .map_err(|error| unreadable_file(file, &error))?;
     }
     let mut steps = collector.into_steps();
--- a/crates/gannetctl/src/usage_windows.rs
+++ b/crates/gannetctl/src/usage_windows.rs
@@ -6,7 +6,7 @@
 
 use crate::cli::{Output, UsageArgs};
 use crate::exit::CliError;
-use crate::log_lines::{LogLine, each_line, unreadable_file};
+use crate::log_lines::{LogLine, for_each_line, unreadable_file};
 use crate::output::{Table, print};
 
 /// State of one window's usage report, from the logs.
@@ -33,7 +33,7 @@
 pub fn usage(args: &UsageArgs, output: Output) -> Result<(), CliError> {
     let mut windows = BTreeMap::new();
     for file in &args.files {
-        each_line(file, |line| record_line(&mut windows, &line))
+        for_each_line(file, |line| record_line(&mut windows, &line))
             .map_err(|error| unreadable_file(file, &error))?;
     }
     let (Some(first), Some(last)) =
--- a/crates/ledger/src/step.rs
+++ b/crates/ledger/src/step.rs
@@ -158,7 +158,7 @@
         Settled::Kept
     }
 
-    /// Handles a failed attempt. `wasted` says that an engine had worked on it, which counts as a
+    /// Handles a failed attempt. `wasted` says whether an engine worked on it, which counts as a
     /// discarded sample.
     pub fn failed(&mut self, slot: SlotIndex, attempt: AttemptId, wasted: bool) {
         if !self.is_running(slot, attempt) {
