--- a/crates/ledger/src/step.rs
+++ b/crates/ledger/src/step.rs
@@ -15,6 +15,7 @@
 enum Slot {
     /// Needs an attempt.
     Wanted,
+    /// The attempt is in progress.
     Running(AttemptId),
     /// The sample is finished and was not returned by a pull yet.
     Ready(Arc<Sample>),
@@ -103,7 +104,7 @@
     ///
     /// # Errors
     ///
-    /// The body differs from the first one.
+    /// The specification differs from the first one.
     pub fn reopen(&self, spec: &StepSpec) -> Result<(), LedgerError> {
         if spec.digest() == self.spec.digest() {
             return Ok(());
@@ -157,7 +158,7 @@
         Settled::Kept
     }
 
-    /// Handles a failed attempt. `wasted` says that an engine had worked on it, which counts as a
+    /// Handles a failed attempt. `wasted` says whether an engine worked on it, which counts as a
     /// discarded sample.
     pub fn failed(&mut self, slot: SlotIndex, attempt: AttemptId, wasted: bool) {
         if !self.is_running(slot, attempt) {
