--- a/crates/node/src/assignments.rs
+++ b/crates/node/src/assignments.rs
@@ -92,13 +92,13 @@
 
     /// Stores a plan unless a newer revision is present.
     pub fn put_plan(&mut self, shard: ShardIndex, mut observed: ObservedPlan) {
-        let known = self.plans.get(&shard);
-        if known.is_some_and(|known| known.revision > observed.revision) {
+        let current = self.plans.get(&shard);
+        if current.is_some_and(|current| current.revision > observed.revision) {
             return;
         }
-        let same_epoch = known.filter(|known| known.plan.epoch == observed.plan.epoch);
-        if let Some(known) = same_epoch {
-            observed.seen_at = known.seen_at;
+        let same_epoch = current.filter(|current| current.plan.epoch == observed.plan.epoch);
+        if let Some(current) = same_epoch {
+            observed.seen_at = current.seen_at;
         } else {
             let plan = &observed.plan;
             log::info!(
@@ -138,7 +138,7 @@
 
     fn remove(&mut self, name: &str) {
         if let Some(box_id) = name.strip_prefix(BOX_PREFIX) {
-            self.boxes.retain(|known, _| known.as_str() != box_id);
+            self.boxes.retain(|id, _| id.as_str() != box_id);
         }
     }
 }
--- a/crates/node/src/feed/cache.rs
+++ b/crates/node/src/feed/cache.rs
@@ -99,15 +99,15 @@
             *self = Self { is_targets, floor: revision, revision, ..Self::default() };
         }
         let listed: HashSet<&str> = listing.objects.iter().map(|stored| &*stored.name).collect();
-        let known = self.objects.keys().filter(|name| !listed.contains(name.as_str()));
-        let missing: Vec<String> = known.cloned().collect();
+        let unlisted = self.objects.keys().filter(|name| !listed.contains(name.as_str()));
+        let missing: Vec<String> = unlisted.cloned().collect();
         for name in missing {
             self.remove(&name, listing.revision);
         }
         for stored in &listing.objects {
-            let known = self.objects.get(&stored.name).map(|object| object.encoded.revision);
+            let cached = self.objects.get(&stored.name).map(|object| object.encoded.revision);
             // An object without a revision may have changed.
-            if known != Some(stored.revision) || stored.revision == 0 {
+            if cached != Some(stored.revision) || stored.revision == 0 {
                 self.put(stored, listing.revision);
             }
         }
--- a/crates/node/src/feed/freshness.rs
+++ b/crates/node/src/feed/freshness.rs
@@ -9,8 +9,8 @@
 use tokio::sync::watch;
 use tokio::time::{self, Instant};
 
-/// Time since the last response within which the source counts as responding. An unanswered request
-/// takes at most 0.7 s of it.
+/// How long a source counts as responding after its last response. Longer than a request to it may
+/// stay unanswered.
 const RESPONSE_WINDOW: Duration = Duration::from_secs(1);
 
 /// Evidence that a feed source had current data from the store.
@@ -75,7 +75,7 @@
         self.no_source.send_replace(true);
     }
 
-    /// Waits until it is established that no feed source exists.
+    /// Waits until [`Self::mark_no_source`] is called; returns immediately if it was before.
     pub async fn wait_for_no_source(&self) {
         // Cannot fail: `self` owns the sender.
         let mut no_source = self.no_source.subscribe();
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -40,7 +40,7 @@
 pub enum StoreCall {
     /// Lists all objects of a kind.
     List,
-    /// Lists a kind, possibly stale.
+    /// Lists all objects of a kind, possibly from a stale copy.
     ListOld,
     /// Waits for changes of a kind.
     Watch,
@@ -84,7 +84,7 @@
     outcomes: Family<OutcomeLabels, Counter>,
     latency: Histogram,
     store_calls: Family<CallLabels, Counter>,
-    /// Calls since the last log line.
+    /// Store calls since the last log line, by kind of object and kind of call.
     unlogged_calls: Mutex<BTreeMap<(&'static str, &'static str), u64>>,
     jobs_held: Gauge,
     items_waiting: Gauge,
@@ -188,8 +188,8 @@
         self.unlogged_calls.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the total and a summary of store calls since the last call, such as `watch config
-    /// 12`; `None` if there were none.
+    /// Returns the number of store calls since this was last called, and a summary such as
+    /// `watch config 12`; `None` if there were none.
     pub fn take_store_calls(&self) -> Option<(u64, String)> {
         let calls = std::mem::take(&mut *self.unlogged_calls());
         let total = calls.values().sum();
@@ -200,10 +200,10 @@
 
     /// Sets the gauges of the jobs of all shards served here.
     pub fn jobs(&self, held: usize, waiting: usize, bytes: usize) {
-        let number = |count: usize| i64::try_from(count).unwrap_or(i64::MAX);
-        self.jobs_held.set(number(held));
-        self.items_waiting.set(number(waiting));
-        self.job_bytes.set(number(bytes));
+        let to_i64 = |count: usize| i64::try_from(count).unwrap_or(i64::MAX);
+        self.jobs_held.set(to_i64(held));
+        self.items_waiting.set(to_i64(waiting));
+        self.job_bytes.set(to_i64(bytes));
     }
 
     /// Sets the version of the configuration in force.
@@ -234,8 +234,7 @@
     }
 }
 
-/// Interval of the log lines about store calls and connections. Bounds their volume to two lines
-/// per box and interval.
+/// Interval of the log lines about store calls and connections.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Open connections are logged when they reach the limit divided by this.
@@ -249,7 +248,10 @@
         let limit = view.pool.limit();
         let (open, max) = (limit.open(), limit.max_open());
         if open >= max / CONNECTION_WARNING_DIVISOR {
-            log::warn!(target: "targets", open = open, most = max; "many connections");
+            log::warn!(
+                target: "targets", open = open, most = max;
+                "many open connections to targets"
+            );
         }
         if let Some((calls, summary)) = view.metrics.take_store_calls() {
             log::info!(target: "node", dependency = "store", calls = calls, told = summary.as_str(); "store calls");
--- a/crates/node/src/sinks.rs
+++ b/crates/node/src/sinks.rs
@@ -99,8 +99,8 @@
     fn listed(&mut self, listing: &Listing) {
         let named = listing.objects.iter().filter_map(|stored| stored.name.parse().ok());
         let named: HashSet<DomainId> = named.collect();
-        let known = self.0.target_table().evacuated().clone();
-        for domain in known.difference(&named) {
+        let evacuated = self.0.target_table().evacuated().clone();
+        for domain in evacuated.difference(&named) {
             self.set(domain, false, listing.revision);
         }
         for domain in &named {
@@ -147,8 +147,11 @@
             Ok(record) => {
                 let (was_leaving, previous_born) = {
                     let targets = self.view.target_table();
-                    let known = targets.record(&record.instance);
-                    (known.map(|known| known.leaving), known.map(|known| known.born))
+                    let previous = targets.record(&record.instance);
+                    (
+                        previous.map(|previous| previous.leaving),
+                        previous.map(|previous| previous.born),
+                    )
                 };
                 if previous_born.is_some_and(|born| born != record.born) {
                     self.view.suspects().instance_gone(self.view.now(), &record.instance);
--- a/crates/objects/src/http.rs
+++ b/crates/objects/src/http.rs
@@ -83,13 +83,13 @@
         if !response.status().is_success() {
             return Err(StoreError::Unknown);
         }
-        let written: WriteResponse = response.json().await.map_err(|_lost| StoreError::Unknown)?;
+        let written: WriteResponse = response.json().await.map_err(|_error| StoreError::Unknown)?;
         Ok(written.version)
     }
 
     async fn list(&self, kind: ObjectKind) -> Result<ListedObjects, StoreError> {
         let response = send(self.client.get(self.kind_url(kind)), CALL_TIMEOUT).await?;
-        response.json().await.map_err(|_lost| StoreError::Unknown)
+        response.json().await.map_err(|_error| StoreError::Unknown)
     }
 
     async fn watch(
@@ -102,7 +102,7 @@
         let request =
             self.client.get(self.kind_url(kind)).query(&[("after", after), ("wait_ms", wait_ms)]);
         let response = send(request, wait + WATCH_SLACK).await?;
-        response.json().await.map_err(|_lost| StoreError::Unknown)
+        response.json().await.map_err(|_error| StoreError::Unknown)
     }
 }
 
--- a/crates/placement/src/queue.rs
+++ b/crates/placement/src/queue.rs
@@ -12,8 +12,8 @@
 
 /// Maximum number of waiting requests per running slot.
 const WAITING_PER_RUNNING: usize = 2;
-/// Retry delay while the target swaps or is in doubt.
-const DOUBT_RETRY: Duration = Duration::from_millis(250);
+/// Retry delay while the target's weight version is unsuitable or in doubt.
+const VERSION_RETRY: Duration = Duration::from_millis(250);
 /// Retry delay when the queue is full, before jitter.
 const FULL_RETRY: Duration = Duration::from_millis(100);
 /// Retry delay when the target is leaving or down.
@@ -203,8 +203,9 @@
         self.replica.contradicted(now);
     }
 
-    /// Whether a trainer has used up its share of the queue. Shares are equal among the active
-    /// trainers, so that none can fill the queue for the others.
+    /// Whether a request of this trainer must not be queued, because the trainer has used up its
+    /// share of the queue. The active trainers have equal shares, so that none can fill the queue
+    /// for the others. Requests without a trainer are limited only by the size of the queue.
     fn is_full_for(&self, trainer: Option<&TrainerId>) -> bool {
         let capacity = self.limit * WAITING_PER_RUNNING;
         let Some(trainer) = trainer else { return self.waiting.len() >= capacity };
@@ -220,7 +221,7 @@
         let (reason, retry_after) = match status {
             ReplicaStatus::Leaving => (NotRun::Leaving, UNAVAILABLE_RETRY),
             ReplicaStatus::Down => (NotRun::Unreachable, UNAVAILABLE_RETRY),
-            ReplicaStatus::InDoubt => (NotRun::InDoubt, DOUBT_RETRY),
+            ReplicaStatus::InDoubt => (NotRun::InDoubt, VERSION_RETRY),
             ReplicaStatus::Serving(held) | ReplicaStatus::Swapping(held) => {
                 let window = request.window?;
                 if window.contains(held) {
@@ -229,7 +230,7 @@
                 let too_old = window.is_too_old(held);
                 let reason =
                     if too_old { NotRun::TooOld { held } } else { NotRun::NotNamed { held } };
-                (reason, DOUBT_RETRY)
+                (reason, VERSION_RETRY)
             }
             ReplicaStatus::Unread => return None,
         };
@@ -273,7 +274,8 @@
         events
     }
 
-    /// Removes the next startable request: of the trainer served least, the oldest first.
+    /// Removes and returns the request to start next: the oldest startable one of the trainer that
+    /// was served least.
     fn next_to_start(&mut self) -> Option<WaitingRequest> {
         let served = |waiting: &WaitingRequest| {
             waiting.request.trainer.as_ref().map_or(0, |trainer| self.served_estimate(trainer))
--- a/crates/routing/src/customers.rs
+++ b/crates/routing/src/customers.rs
@@ -218,9 +218,9 @@
     let mut faults = Vec::new();
     for spec in specs {
         let mut priority = spec.priority;
-        if let Some(known) = customers.get(&spec.name) {
+        if let Some(earlier) = customers.get(&spec.name) {
             faults.push(CustomerFault::NamedTwice(spec.name.clone()));
-            priority = [known.priority, priority].into_iter().flatten().min();
+            priority = [earlier.priority, priority].into_iter().flatten().min();
         }
         let customer = Customer { name: spec.name.clone(), priority };
         customers.insert(spec.name.clone(), Arc::new(customer));
--- a/crates/routing/src/target_table.rs
+++ b/crates/routing/src/target_table.rs
@@ -32,16 +32,13 @@
 const MAX_DOUBLINGS: u32 = 8;
 /// Weight of the newest measurement in the moving average of a target's unit time.
 const UNIT_TIME_SMOOTHING: f64 = 0.2;
-/// Cost added to targets of other failure domains, as a share of their slots: traffic between
-/// domains costs more than a short wait.
+/// Cost added to targets of other failure domains, in units of the load ratio.
 const REMOTE_DOMAIN_COST: f64 = 0.34;
-/// Weight of the load relative to the unit time for requests that prefer a fast target. Small,
-/// because a full batch slows its requests down by less than the engines of one service differ in
-/// speed.
+/// Weight of the load relative to the unit time for requests that prefer a fast target. Low,
+/// because a full batch slows its requests down less than a slow engine does.
 const FAST_LOAD_WEIGHT: f64 = 0.1;
-
-/// Cost added in large services to targets without an idle connection. It is less than the cost
-/// of one running request. Targets of small services usually have a connection open.
+/// Cost added in large services to targets without an idle connection. Targets of small services
+/// usually have one.
 const CONNECT_COST: f64 = 0.1;
 
 /// The listed targets, with their load, failures and backoff as seen by this box.
@@ -104,8 +101,8 @@
         &self.evacuated
     }
 
-    /// Counter that changes when a target is added or removed, when its announcement of a shutdown
-    /// changes, and when an evacuation starts or ends.
+    /// Counter that changes when a target is added or removed, when its leaving state changes,
+    /// and when an evacuation starts or ends.
     pub const fn generation(&self) -> u64 {
         self.generation
     }
@@ -136,9 +133,9 @@
     /// Updates the record of an incarnation that is already in the table.
     fn update(&mut self, now: Moment, record: TargetRecord) {
         let Some(state) = self.targets.get_mut(&record.instance) else { return };
-        let known = &state.record;
-        if known.models != record.models || known.service != record.service {
-            self.index.remove(&known.service, &record.instance, &known.models);
+        let previous = &state.record;
+        if previous.models != record.models || previous.service != record.service {
+            self.index.remove(&previous.service, &record.instance, &previous.models);
             self.index.insert(&record.service, &record.instance, &record.models);
         }
         self.generation += u64::from(state.record.leaving != record.leaving);
@@ -169,7 +166,7 @@
         self.targets.get(instance).map(|state| &state.record)
     }
 
-    /// Whether a target is listed, is not leaving and is not known to be gone.
+    /// Whether a target is listed, is not leaving, and no response showed that it is gone.
     pub fn stays(&self, instance: &InstanceId) -> bool {
         self.targets.get(instance).is_some_and(|state| !state.gone && !state.record.leaving)
     }
@@ -310,7 +307,7 @@
         })
     }
 
-    /// Records that a chosen request ended, successfully or not.
+    /// Records that a request to a chosen target ended, successfully or not.
     pub fn ended(&mut self, instance: &InstanceId) {
         if let Some(state) = self.targets.get_mut(instance) {
             state.local_in_flight = state.local_in_flight.saturating_sub(1);
@@ -412,8 +409,8 @@
 
 /// Merges two model lists and keeps the newer version of each model, since the listing may lag
 /// behind the versions that responses report.
-fn merge_models(known: &[HeldModel], listed: &[HeldModel]) -> Vec<HeldModel> {
-    let mut merged = known.to_vec();
+fn merge_models(current: &[HeldModel], listed: &[HeldModel]) -> Vec<HeldModel> {
+    let mut merged = current.to_vec();
     for held in listed {
         match merged.iter_mut().find(|other| other.model == held.model) {
             Some(other) => other.version = other.version.max(held.version),
--- a/crates/routing/tests/cold_targets.rs
+++ b/crates/routing/tests/cold_targets.rs
@@ -79,7 +79,10 @@
 fn cold_target_is_rate_limited_until_it_is_warm() {
     let mut table = target_table(&[target("i-1", "home", COLD_TIME)]);
     let first = burst_size(&mut table, Moment::START, sender(0, 1));
-    assert_eq!(first, 10, "half of 21: a former server of the shard may still send");
+    assert_eq!(
+        first, 10,
+        "half of the limit of 21: the previous server of the shard may still send"
+    );
     assert_eq!(no_target_reason(&table, Moment::START), NoTargetReason::Cold);
     assert_eq!(send(&mut table, Moment::START + SECOND, Some(sender(0, 1))), None);
     let later = Moment::START + SECOND + SECOND / 2;
--- a/crates/xtask/src/mutate.rs
+++ b/crates/xtask/src/mutate.rs
@@ -44,7 +44,7 @@
     Mutation {
         name: "1: a replica in doubt gets work",
         file: "crates/placement/src/queue.rs",
-        from: "ReplicaStatus::InDoubt => (NotRun::InDoubt, DOUBT_RETRY),",
+        from: "ReplicaStatus::InDoubt => (NotRun::InDoubt, VERSION_RETRY),",
         to: "ReplicaStatus::InDoubt => return None,",
         package: "placement",
         test: "in_doubt",
--- a/crates/xtask/tests/tidy.rs
+++ b/crates/xtask/tests/tidy.rs
@@ -71,10 +71,10 @@
             continue;
         }
         let text = fs::read_to_string(&path).expect("file is UTF-8").to_ascii_lowercase();
-        let own = |name: &str| {
-            SHARED_NAMES.iter().any(|(file, own)| path.ends_with(file) && *own == name)
+        let is_shared = |name: &str| {
+            SHARED_NAMES.iter().any(|(file, shared)| path.ends_with(file) && *shared == name)
         };
-        let names = PLATFORM_NAMES.iter().filter(|name| text.contains(**name) && !own(name));
+        let names = PLATFORM_NAMES.iter().filter(|name| text.contains(**name) && !is_shared(name));
         found.extend(names.map(|name| format!("{}: {name}", path.display())));
     }
     assert!(found.is_empty(), "move these names into platform/: {found:#?}");
@@ -109,11 +109,11 @@
 /// Returns the test names in backquotes, each with whether it is only a prefix (`name…`).
 fn quoted_test_names(page: &str) -> Vec<(String, bool)> {
     let quoted = page.split('`').skip(1).step_by(2);
-    let names = quoted.filter_map(|word| {
-        let name = word.trim_end_matches('…');
+    let names = quoted.filter_map(|quote| {
+        let name = quote.trim_end_matches('…');
         let plain = name.chars().all(|c| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '_');
         let long = name.matches('_').count() >= MIN_TEST_NAME_UNDERSCORES;
-        (plain && long).then(|| (name.to_owned(), name != word))
+        (plain && long).then(|| (name.to_owned(), name != quote))
     });
     names.collect()
 }
