--- a/crates/sessions/src/trainer.rs
+++ b/crates/sessions/src/trainer.rs
@@ -75,6 +75,7 @@
     pub const fn restart(&mut self) {
         self.opened = false;
         self.requested_at = None;
+        // Replies that are still in flight no longer match.
         self.request_number += 1_000;
     }
 
--- a/crates/shards/src/context.rs
+++ b/crates/shards/src/context.rs
@@ -50,7 +50,7 @@
 }
 
 impl ShardContext {
-    /// Creates a context without any known peers.
+    /// Creates a context without any peers.
     pub fn new(
         view: Arc<NodeView>,
         settings: StorageSettings,
@@ -124,7 +124,8 @@
         (!self.copies.folder().has(shard, &epoch)).then_some(epoch.token)
     }
 
-    /// Chooses boxes for the other copies of a shard; `None` when there are too few.
+    /// Chooses boxes for the other copies of a shard. If there are too few, returns `None` and
+    /// extends heartbeats to standby boxes.
     pub fn choose_copies(&self, shard: ShardIndex) -> Option<Vec<StorageBox>> {
         let now = self.view.now();
         let retiring = self.retiring().clone();
@@ -134,10 +135,10 @@
                 && !retiring.contains(&copy.box_id)
                 && self.peers.can_host_copy(now, &copy.box_id)
         });
-        let fit: Vec<StorageBox> = boxes.cloned().collect();
+        let eligible: Vec<StorageBox> = boxes.cloned().collect();
         let failing = self.peers.recently_failed(now);
         let count = self.settings.copies.saturating_sub(1);
-        let chosen = choose_healthy_partners(shard, &self.me.domain, &fit, &failing, count);
+        let chosen = choose_healthy_partners(shard, &self.me.domain, &eligible, &failing, count);
         if chosen.is_none() {
             self.peers.call_standby(now);
         }
--- a/crates/shards/src/peers.rs
+++ b/crates/shards/src/peers.rs
@@ -28,21 +28,21 @@
 const CALLED_WINDOW: Duration = Duration::from_millis(200);
 /// Timeout of a heartbeat.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(500);
-/// A box whose last heartbeat is older may not receive a copy.
+/// How long a box counts as live after a heartbeat, and the state reported in it as current.
 const LIVE_WINDOW: Duration = Duration::from_millis(700);
-/// How long a box is avoided for copies after a failed call. It takes this long to detect that it
-/// is unresponsive, and a partition affects its whole failure domain.
+/// How long a box, and its failure domain where possible, is avoided for copies after a failed
+/// call.
 const FAILURE_WINDOW: Duration = Duration::from_millis(1_500);
 /// A box with a heartbeat within this time counts as having reported its usage.
 const USAGE_REPORT_WINDOW: Duration = Duration::from_secs(1);
-/// How long standby boxes are called once they are needed: several takeover attempts.
+/// How long standby boxes are called once they are needed; enough for several takeover attempts.
 const STANDBY_WINDOW: Duration = Duration::from_secs(3);
 /// A box unresponsive for this long is called less often.
 const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_secs(10);
 /// A connection that fails faster than this was refused: the machine runs, but the process
 /// doesn't.
 const REFUSAL_THRESHOLD: Duration = Duration::from_millis(100);
-/// Only every n-th heartbeat goes to a box that is unresponsive for long.
+/// One in this many heartbeats is sent to a box that has been unresponsive for long.
 const UNRESPONSIVE_SKIP_FACTOR: u64 = 10;
 
 #[derive(Debug, Clone)]
@@ -64,7 +64,7 @@
     takeovers: HashMap<(ShardIndex, BoxId), Moment>,
     /// When a box last reported a missing copy of a shard, and under which token.
     missing_copies: HashMap<(ShardIndex, BoxId), (FencingToken, Moment)>,
-    /// When a call to a box last broke off or timed out.
+    /// When a call to a box last failed.
     failed: HashMap<BoxId, Moment>,
     /// When a box last called this one.
     called: HashMap<BoxId, Moment>,
@@ -168,7 +168,7 @@
         states.refused.get(box_id).is_some_and(|refused_at| *refused_at > last_heartbeat)
     }
 
-    /// Records a call that broke off or timed out.
+    /// Records a failed call to a box.
     pub fn record_failure(&self, now: Moment, box_id: &BoxId) {
         self.lock().failed.insert(box_id.clone(), now);
     }
@@ -304,17 +304,17 @@
 
 /// Sends heartbeats to the other boxes until the box stops.
 pub async fn run_heartbeats(ctx: Arc<ShardContext>, keepers: Arc<KeeperSet>) {
-    let mut turn: u64 = 0;
+    let mut round: u64 = 0;
     let mut has_updates = true;
     loop {
-        turn += 1;
+        round += 1;
         let now = ctx.view.now();
         ctx.backlog.sample(keepers.all());
         ctx.view.usage.record_peer_time(now, &ctx.me.box_id, wall_time());
         ctx.view.usage.forget(now);
         for other in heartbeat_peers(&ctx, now) {
             if ctx.peers.is_long_unresponsive(now, &other.box_id)
-                && !turn.is_multiple_of(UNRESPONSIVE_SKIP_FACTOR)
+                && !round.is_multiple_of(UNRESPONSIVE_SKIP_FACTOR)
             {
                 continue;
             }
@@ -354,7 +354,7 @@
             ctx.peers.record_refusal(ctx.view.now(), &other.box_id);
             ctx.peers.record_failure(ctx.view.now(), &other.box_id);
         }
-        // Other boxes are considered unresponsive by the time since their last heartbeat.
+        // Whether the box is unresponsive depends on the time since its last heartbeat instead.
         Err(error) => {
             ctx.peers.record_failure(ctx.view.now(), &other.box_id);
             log::debug!(target: "shard", peer:% = other.box_id, error:% = error; "heartbeat failed");
--- a/crates/shards/tests/loads.rs
+++ b/crates/shards/tests/loads.rs
@@ -11,10 +11,10 @@
 use shards::{LoadTable, apply_loads};
 
 const ENGINES: usize = 17;
-/// Concurrent loads among these engines.
+/// Maximum number of engines that load at the same time.
 const CONCURRENT_LOADS: usize = 4;
 const LOAD_DURATION: Duration = Duration::from_millis(900);
-/// Delay of load reports: 30 ms of batching and one network hop.
+/// Delay of load reports by batching and one network hop.
 const REPORT_DELAY: Duration = Duration::from_millis(32);
 const TICK: Duration = Duration::from_millis(4);
 
--- a/crates/suspects/src/lib.rs
+++ b/crates/suspects/src/lib.rs
@@ -6,7 +6,7 @@
 //! with the other boxes ([`SuspectRecord`]), and rejects work that is quarantined.
 //!
 //! A crash disconnects everything that ran at the target, and targets also crash for other reasons.
-//! These rules protect innocent work:
+//! These rules protect work that did not cause the crash:
 //! - Only a crash counts, not a closed connection, and each incarnation of a target counts once.
 //! - Work that completes successfully is cleared at once.
 //! - Crashes that other work explains as well do not quarantine it (module `verdict`).
--- a/crates/suspects/src/table.rs
+++ b/crates/suspects/src/table.rs
@@ -70,7 +70,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Trial {
     None,
-    /// Due, but not yet confirmed by the store. The conditional write lets one box alone run it.
+    /// Due, but not yet confirmed by the store. The conditional write ensures that only one box
+    /// runs it.
     Requested,
     /// This box may run the trial.
     Granted,
@@ -86,15 +87,17 @@
 #[derive(Debug)]
 struct Suspect {
     service: ServiceName,
-    /// Crashes that this box observed, and those in the stored record.
+    /// Crashes that this box observed.
     local_crashes: Vec<TargetCrash>,
+    /// Crashes in the stored record.
     stored_crashes: Vec<TargetCrash>,
     /// Disconnects whose target may have crashed.
     disconnects: Vec<(TargetCrash, Moment)>,
-    /// Time of the last crash, and when the quarantine threshold was reached.
     last_crash_at: Moment,
+    /// When the quarantine threshold was reached.
     threshold_at: Option<Moment>,
-    /// The crashes came with a full listing of the store, so no better explanation is in transit.
+    /// A full listing of the store, which includes the reports of other boxes, contained enough
+    /// crashes for quarantine.
     settled: bool,
     /// The caller got no response and may retry at another box.
     caller_unanswered: bool,
@@ -172,8 +175,8 @@
     }
 
     fn trial_due(&self, now: Moment) -> bool {
-        let after = TRIAL_DELAYS.get(self.trials as usize);
-        after.is_some_and(|after| now.since(self.last_crash_at.max(self.last_trial_at)) >= *after)
+        let delay = TRIAL_DELAYS.get(self.trials as usize);
+        delay.is_some_and(|delay| now.since(self.last_crash_at.max(self.last_trial_at)) >= *delay)
     }
 
     fn record(&self) -> SuspectRecord {
@@ -228,9 +231,9 @@
         self.suspects.get(&work).map_or(0, Suspect::count)
     }
 
-    /// Records that a target disconnected while it ran `work`; `crash` describes the crash that this
-    /// may turn out to be. Returns `true` if the incarnation should be probed, because no earlier
-    /// disconnect involves it.
+    /// Records that a target disconnected while it ran `work`; `crash` is counted once it is
+    /// confirmed that the target crashed. Returns `true` if the incarnation should be probed,
+    /// because no earlier disconnect involves it.
     pub fn record_disconnect(
         &mut self,
         now: Moment,
@@ -287,7 +290,7 @@
         }
     }
 
-    /// Returns incarnations whose refusal is older than `REFUSAL_TIMEOUT`, each of them once.
+    /// Removes and returns the incarnations whose refusal is older than `REFUSAL_TIMEOUT`.
     pub fn drain_expired_refusals(&mut self, now: Moment) -> Vec<TargetIncarnation> {
         let due = self.refused.extract_if(|_, at| now.since(*at) >= REFUSAL_TIMEOUT);
         due.map(|(incarnation, _)| incarnation).collect()
@@ -307,11 +310,11 @@
                 stored.crashes = 0;
             }
         }
-        let freed =
+        let cleared =
             self.suspects.extract_if(|_, suspect| suspect.count() == 0 && suspect.stored.is_some());
-        let freed: Vec<_> =
-            freed.filter_map(|(work, entry)| Some((work, entry.stored?.revision))).collect();
-        self.cleared.extend(freed);
+        let cleared: Vec<_> =
+            cleared.filter_map(|(work, entry)| Some((work, entry.stored?.revision))).collect();
+        self.cleared.extend(cleared);
     }
 
     /// Clears work that completed successfully: it caused none of its crashes.
@@ -346,8 +349,8 @@
         }
     }
 
-    /// Returns the targets at which this box runs conflicting suspects. A crash beside them would
-    /// not tell the suspects apart and could hit innocent work.
+    /// Returns the targets at which this box runs conflicting suspects. A crash of a target that
+    /// runs several suspects does not show which of them caused it.
     pub fn anti_affinity(&self, work: WorkDigest) -> AntiAffinity {
         let suspect = self.suspects.get(&work);
         let others = self.suspects.iter().filter(|(other, entry)| {
@@ -356,8 +359,8 @@
                 Some(suspect) => suspect
                     .incarnations()
                     .any(|incarnation| entry.incarnations().any(|other| other == incarnation)),
-                // A single crash makes all work at the target a suspect, which is too little
-                // evidence to avoid it.
+                // Suspects with fewer crashes are not avoided: one crash makes suspects of all work
+                // at the target.
                 None => entry.count() >= ISOLATION_CRASHES,
             };
             **other != work && conflicts
@@ -492,12 +495,12 @@
 
     /// Applies a full listing, after the records in it. Work that is not listed has no stored
     /// record.
-    pub fn apply_listing(&mut self, named: &HashSet<WorkDigest>) {
+    pub fn apply_listing(&mut self, listed: &HashSet<WorkDigest>) {
         for suspect in self.suspects.values_mut() {
             suspect.settled |= suspect.stored_crashes.len() >= QUARANTINE_CRASHES;
         }
-        self.cleared.retain(|work, _| named.contains(work));
-        self.suspects.retain(|work, suspect| suspect.stored.is_none() || named.contains(work));
+        self.cleared.retain(|work, _| listed.contains(work));
+        self.suspects.retain(|work, suspect| suspect.stored.is_none() || listed.contains(work));
     }
 
     /// Drops expired entries. With `clears_others` (a storage box), also deletes stored records
@@ -535,10 +538,10 @@
         if self.suspects.contains_key(work) || self.suspects.len() < MAX_SUSPECTS {
             return;
         }
-        let least =
+        let evicted =
             self.suspects.iter().min_by_key(|(_, entry)| (entry.count(), entry.last_crash_at));
-        if let Some(least) = least.map(|(work, _)| *work) {
-            self.suspects.remove(&least);
+        if let Some(evicted) = evicted.map(|(work, _)| *work) {
+            self.suspects.remove(&evicted);
         }
     }
 }
--- a/crates/swaps/src/loads.rs
+++ b/crates/swaps/src/loads.rs
@@ -2,8 +2,8 @@
 //!
 //! Only a few engines may load at the same time, so with several trainers on one pool a new version
 //! may be named before all engines have the previous one. The model with the smallest fraction of
-//! up-to-date engines goes first, because its steps can use only its own engines. Loading the most
-//! outdated engines of all models first could delay a model's first engine after an outage.
+//! up-to-date engines goes first, because its steps can use only its own engines. Among the
+//! engines of a model, the most outdated one goes first.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
--- a/crates/swaps/src/shares.rs
+++ b/crates/swaps/src/shares.rs
@@ -33,11 +33,11 @@
     };
     let wanted: Vec<f64> = work.iter().map(|work| share(*work)).collect();
     for _ in 0..remaining {
-        let neediest = (0..work.len()).max_by(|a, b| {
+        let largest_deficit = (0..work.len()).max_by(|a, b| {
             let deficit = |model: usize| wanted[model] - as_f64(counts[model] - min_count);
             deficit(*a).total_cmp(&deficit(*b)).then(b.cmp(a))
         });
-        if let Some(model) = neediest {
+        if let Some(model) = largest_deficit {
             counts[model] += 1;
         }
     }
--- a/crates/usage/src/table.rs
+++ b/crates/usage/src/table.rs
@@ -19,7 +19,7 @@
 /// Total number of requests of a customer that one source has counted in a window.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UsageCount {
-    /// The box that counted.
+    /// The source that counted.
     pub source: CountSource,
     /// The window in which the requests started.
     pub window: UsageWindow,
